--- a/admission/queue.go
+++ b/admission/queue.go
@@ -11,10 +11,10 @@
 
 // Limits bound the queue.
 type Limits struct {
-	// Length is the most requests that wait.
-	Length int
-	// Wait is the longest expected wait that is taken on, whatever the caller's deadline.
-	Wait time.Duration
+	// MaxLength is the most requests that wait.
+	MaxLength int
+	// MaxWait is the longest expected wait that is taken on, whatever the caller's deadline.
+	MaxWait time.Duration
 }
 
 // Item is one waiting request.
@@ -28,8 +28,8 @@
 	Cost time.Duration
 	// Deadline is when the caller stops waiting for the first token; zero is never.
 	Deadline time.Time
-	// Hashes are the prompt's boundaries, shortest first.
-	Hashes []uint64
+	// PrefixHashes are the prompt's boundaries, shortest first.
+	PrefixHashes []uint64
 
 	start    float64
 	arrival  uint64
@@ -72,8 +72,8 @@
 	return sum
 }
 
-// Line is what stands before a request.
-type Line struct {
+// Backlog is what stands before a request.
+type Backlog struct {
 	// Cost is the target's time that the requests ahead take, and Count how many they are.
 	Cost  time.Duration
 	Count int
@@ -81,9 +81,9 @@
 
 // Ahead returns the waiting requests that would now go before a new one of
 // the customer. Placement compares runners by it.
-func (q *Queue) Ahead(customer string, priority int) Line {
+func (q *Queue) Ahead(customer string, priority int) Backlog {
 	start := q.startTag(customer)
-	var line Line
+	var line Backlog
 	for _, item := range q.items {
 		if item.Priority < priority || (item.Priority == priority && item.start <= start) {
 			line.add(item.Cost)
@@ -92,12 +92,12 @@
 	return line
 }
 
-// Share returns what will have gone before a new request of the customer when
+// ExpectedBacklog returns what will have gone before a new request of the customer when
 // its turn comes: its own waiting requests, times the customers that share
 // the target with it, since theirs that come later go in between. Admission
 // judges by it whether the wait is within bounds.
-func (q *Queue) Share(customer string, priority int) Line {
-	var own Line
+func (q *Queue) ExpectedBacklog(customer string, priority int) Backlog {
+	var own Backlog
 	for _, item := range q.items {
 		if item.Customer == customer && item.Priority <= priority {
 			own.add(item.Cost)
@@ -107,10 +107,10 @@
 	own.Cost *= time.Duration(sharers)
 	own.Count *= sharers
 	ahead := q.Ahead(customer, priority)
-	return Line{Cost: max(ahead.Cost, own.Cost), Count: max(ahead.Count, own.Count)}
+	return Backlog{Cost: max(ahead.Cost, own.Cost), Count: max(ahead.Count, own.Count)}
 }
 
-func (l *Line) add(cost time.Duration) {
+func (l *Backlog) add(cost time.Duration) {
 	l.Cost += cost
 	l.Count++
 }
@@ -135,9 +135,9 @@
 	return max(q.virtual, a.finish)
 }
 
-// Decision is what Push decided: Refused is empty when the request waits.
+// PushResult is what Push decided: Refused is empty when the request waits.
 // Evicted, where set, is a waiting request that gave its place up.
-type Decision struct {
+type PushResult struct {
 	Refused Reason
 	Evicted *Item
 	// RetryAfter is when room is expected, for whichever request was refused.
@@ -149,31 +149,31 @@
 
 // The reasons for a refusal.
 const (
-	Taken    Reason = ""
-	Full     Reason = "queue_full"
-	TooLate  Reason = "deadline_unmet"
-	Canceled Reason = "canceled"
+	Admitted      Reason = ""
+	QueueFull     Reason = "queue_full"
+	DeadlineUnmet Reason = "deadline_unmet"
+	Canceled      Reason = "canceled"
 )
 
 // Push puts a request into the queue. Wait is how long it will wait there, by
 // what the target has and what stands ahead. A refusal is immediate and final.
-func (q *Queue) Push(item *Item, wait time.Duration, now time.Time) Decision {
-	if wait > q.limits.Wait {
-		return Decision{Refused: Full, RetryAfter: wait - q.limits.Wait + item.Cost}
+func (q *Queue) Push(item *Item, wait time.Duration, now time.Time) PushResult {
+	if wait > q.limits.MaxWait {
+		return PushResult{Refused: QueueFull, RetryAfter: wait - q.limits.MaxWait + item.Cost}
 	}
 	if !item.Deadline.IsZero() && now.Add(wait+item.Cost).After(item.Deadline) {
-		return Decision{Refused: TooLate, RetryAfter: wait}
+		return PushResult{Refused: DeadlineUnmet, RetryAfter: wait}
 	}
 	var evicted *Item
-	if len(q.items) >= q.limits.Length {
+	if len(q.items) >= q.limits.MaxLength {
 		evicted = q.overdrawn(item)
 		if evicted == nil {
-			return Decision{Refused: Full, RetryAfter: q.meanCost()}
+			return PushResult{Refused: QueueFull, RetryAfter: q.meanCost()}
 		}
 		q.Remove(evicted.ID)
 	}
 	q.enqueue(item, now)
-	return Decision{Evicted: evicted, RetryAfter: wait + q.Cost()}
+	return PushResult{Evicted: evicted, RetryAfter: wait + q.Cost()}
 }
 
 func (q *Queue) meanCost() time.Duration {
@@ -220,15 +220,15 @@
 	return a.arrival < b.arrival
 }
 
-// Hold says whether a request may be given to the target now.
-type Hold int
+// DispatchDecision says whether a request may be given to the target now.
+type DispatchDecision int
 
 // The verdicts on a request in line.
 const (
-	// Go: the target can take it.
-	Go Hold = iota
-	// Pass: not yet; those behind it may go first.
-	Pass
+	// Dispatch: the target can take it.
+	Dispatch DispatchDecision = iota
+	// Skip: not yet; those behind it may go first.
+	Skip
 	// Block: not yet, and it has been passed for long enough: nobody behind
 	// it goes first. Without this a long request would starve behind short ones.
 	Block
@@ -236,11 +236,11 @@
 
 // Next takes out the request to give to the target: the first in line that
 // hold lets go. It returns nil where there is none.
-func (q *Queue) Next(hold func(*Item) Hold) *Item {
+func (q *Queue) Next(hold func(*Item) DispatchDecision) *Item {
 	slices.SortFunc(q.items, compare)
 	for _, item := range q.items {
 		switch hold(item) {
-		case Go:
+		case Dispatch:
 			q.virtual = max(q.virtual, item.start)
 			q.take(item)
 			return item
@@ -258,8 +258,8 @@
 	return 1
 }
 
-// Expired takes out the requests whose caller has stopped waiting.
-func (q *Queue) Expired(now time.Time) []*Item {
+// RemoveExpired takes out the requests whose caller has stopped waiting.
+func (q *Queue) RemoveExpired(now time.Time) []*Item {
 	var late []*Item
 	for _, item := range q.items {
 		if !item.Deadline.IsZero() && now.After(item.Deadline) {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -11,13 +11,13 @@
 
 var start = time.Unix(1000, 0)
 
-func never(*Item) Hold { return Go }
+func never(*Item) DispatchDecision { return Dispatch }
 
 // TestSessions runs whole sessions of a queue from golden files. Commands:
 // push, next, remove, expire, at; each prints what the queue decided.
 func TestSessions(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		q := NewQueue(Limits{Length: 4, Wait: 2 * time.Second})
+		q := NewQueue(Limits{MaxLength: 4, MaxWait: 2 * time.Second})
 		now := start
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			return runCommand(t, q, &now, d)
@@ -54,7 +54,7 @@
 	case "at":
 		*now = start.Add(time.Duration(ms) * time.Millisecond)
 		out := ""
-		for _, item := range q.Expired(*now) {
+		for _, item := range q.RemoveExpired(*now) {
 			out += "expired " + item.ID + "\n"
 		}
 		return out + fmt.Sprintf("waiting %d\n", q.Len())
@@ -62,8 +62,8 @@
 	return "unknown command\n"
 }
 
-func describe(q *Queue, d Decision) string {
-	if d.Refused != Taken {
+func describe(q *Queue, d PushResult) string {
+	if d.Refused != Admitted {
 		return fmt.Sprintf("refused %s retry_after=%v\n", d.Refused, d.RetryAfter)
 	}
 	if d.Evicted != nil {
@@ -76,7 +76,7 @@
 // served equally, whatever the costs and the order of arrival.
 func TestFairBetweenCustomers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := NewQueue(Limits{Length: 1000, Wait: time.Hour})
+		q := NewQueue(Limits{MaxLength: 1000, MaxWait: time.Hour})
 		costs := rapid.SliceOfN(rapid.IntRange(1, 50), 5, 20).Draw(t, "costs")
 		id := 0
 		push := func(customer string) {
@@ -108,7 +108,7 @@
 // removals and expiries.
 func TestEveryRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := NewQueue(Limits{Length: 5, Wait: time.Hour})
+		q := NewQueue(Limits{MaxLength: 5, MaxWait: time.Hour})
 		ended := map[string]int{}
 		pushed := 0
 		now := start
@@ -125,7 +125,7 @@
 					Deadline: now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "deadline")) * time.Millisecond),
 				}
 				d := q.Push(item, 0, now)
-				if d.Refused != Taken {
+				if d.Refused != Admitted {
 					ended[item.ID]++
 				}
 				if d.Evicted != nil {
@@ -136,7 +136,7 @@
 					ended[item.ID]++
 				}
 			case 3:
-				for _, item := range q.Expired(now) {
+				for _, item := range q.RemoveExpired(now) {
 					ended[item.ID]++
 				}
 			}
@@ -157,8 +157,8 @@
 
 func TestReservations(t *testing.T) {
 	r := NewReservations(3 * time.Millisecond)
-	r.Hold(1, 50*time.Millisecond, start)
-	r.Hold(2, 20*time.Millisecond, start)
+	r.Reserve(1, 50*time.Millisecond, start)
+	r.Reserve(2, 20*time.Millisecond, start)
 	if got := r.Cost(start); got != 70*time.Millisecond {
 		t.Errorf("reserved %v, want 70ms", got)
 	}
@@ -173,15 +173,15 @@
 
 // A long request must not wait for ever while short ones pass it.
 func TestBlockedRequestIsNotPassed(t *testing.T) {
-	q := NewQueue(Limits{Length: 10, Wait: time.Hour})
+	q := NewQueue(Limits{MaxLength: 10, MaxWait: time.Hour})
 	q.Push(&Item{ID: "long", Customer: "a", Cost: time.Second}, 0, start)
 	q.Push(&Item{ID: "short", Customer: "b", Cost: time.Millisecond}, 0, start)
-	verdict := Pass
-	hold := func(i *Item) Hold {
+	verdict := Skip
+	hold := func(i *Item) DispatchDecision {
 		if i.ID == "long" {
 			return verdict
 		}
-		return Go
+		return Dispatch
 	}
 	if item := q.Next(hold); item == nil || item.ID != "short" {
 		t.Errorf("passed by %v, want short", item)
--- a/admission/reservation.go
+++ b/admission/reservation.go
@@ -22,8 +22,8 @@
 	return &Reservations{ttl: ttl, held: map[uint64]reservation{}}
 }
 
-// Hold reserves cost under id.
-func (r *Reservations) Hold(id uint64, cost time.Duration, now time.Time) {
+// Reserve reserves cost under id.
+func (r *Reservations) Reserve(id uint64, cost time.Duration, now time.Time) {
 	if id == 0 || len(r.held) >= maxReservations {
 		return
 	}
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -104,7 +104,7 @@
 	if len(a.homeTargets) == 0 {
 		return false, a.homeSince
 	}
-	return placement.CallOrder(a.homeTargets, k.IdempotencyKey)[0] == a.settings.Target.Name, a.homeSince
+	return placement.RankTargets(a.homeTargets, k.IdempotencyKey)[0] == a.settings.Target.Name, a.homeSince
 }
 
 // watchHomes notes when the configured targets of this agent's service change.
--- a/agent/ask.go
+++ b/agent/ask.go
@@ -32,7 +32,7 @@
 		// Only one of the agents asked will get the request: were each to
 		// reserve its whole cost, the others would look busy without being so.
 		cost := r.pace.cost(max(0, int(req.PromptTokens)-expected)) / time.Duration(max(1, req.Asked))
-		r.reservations.Hold(req.Reservation, cost, now)
+		r.reservations.Reserve(req.Reservation, cost, now)
 	}
 	return answer
 }
--- a/agent/call.go
+++ b/agent/call.go
@@ -42,7 +42,7 @@
 
 func (c *caller) call(ctx context.Context, req *keelv1.CallRequest) *keelv1.CallResponse {
 	if req.RequireIncarnation != "" && req.RequireIncarnation != c.incarnation {
-		return c.refuse(refusal.New(refusal.Restarted, "send to the process that is there now", "the process that was meant is gone"))
+		return c.refuse(refusal.New(refusal.AgentRestarted, "send to the process that is there now", "the process that was meant is gone"))
 	}
 	if req.Idempotent {
 		return c.callIdempotent(ctx, req)
@@ -61,7 +61,7 @@
 		return refusal.New(refusal.Stopping, "send to another entry or again at once", "the agent is stopping")
 	}
 	if c.running >= c.slots {
-		return refusal.New(refusal.QueueFull, "come back after the time in Retry-After", "all %d slots of the service are busy", c.slots).After(time.Second)
+		return refusal.New(refusal.QueueFull, "come back after the time in Retry-After", "all %d slots of the service are busy", c.slots).WithRetryAfter(time.Second)
 	}
 	c.running++
 	return nil
@@ -157,7 +157,7 @@
 	case ledger.RefuseAbandoned:
 		return c.refuse(refusal.New(refusal.AttemptAbandoned, "send the call again", "this attempt was given up as not run"))
 	case ledger.RefuseFull:
-		return c.refuse(refusal.New(refusal.LedgerFull, "come back after the time in Retry-After", "the ledger of calls is full").After(time.Second))
+		return c.refuse(refusal.New(refusal.LedgerFull, "come back after the time in Retry-After", "the ledger of calls is full").WithRetryAfter(time.Second))
 	}
 	return c.refuse(refusal.NewUnknown("the answer to this call was lost"))
 }
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -23,7 +23,7 @@
 // wait is how long a new request would wait for its prefill to begin behind a
 // line: for the prefill that the engine has, what is reserved, the line, and
 // a slot to come free.
-func (r *runner) wait(line admission.Line, now time.Time) time.Duration {
+func (r *runner) wait(line admission.Backlog, now time.Time) time.Duration {
 	prefill := r.pace.cost(r.prefillTokens) + r.reservations.Cost(now) + line.Cost
 	over := r.running + line.Count - r.settings.Queue.Slots
 	if over < 0 {
@@ -37,7 +37,7 @@
 func (r *runner) dispatch(now time.Time) {
 	r.expire(now)
 	for r.running < r.settings.Queue.Slots && r.state.up {
-		item := r.queue.Next(func(item *admission.Item) admission.Hold { return r.holdBack(item, now) })
+		item := r.queue.Next(func(item *admission.Item) admission.DispatchDecision { return r.holdBack(item, now) })
 		if item == nil {
 			return
 		}
@@ -51,19 +51,19 @@
 // holdBack keeps a request waiting while the engine has enough prefill ahead,
 // or while it computes a prefix of this very request: given both at once, the
 // engine would compute the shared tokens twice.
-func (r *runner) holdBack(item *admission.Item, now time.Time) admission.Hold {
+func (r *runner) holdBack(item *admission.Item, now time.Time) admission.DispatchDecision {
 	j := r.jobs[item.ID]
 	r.estimate(j, now)
-	if shared := tokensAt(j.req.BoundaryTokens, r.belief.beingComputed(item.Hashes)); shared > j.claimed {
-		return admission.Pass
+	if shared := tokensAt(j.req.BoundaryTokens, r.belief.beingComputed(item.PrefixHashes)); shared > j.claimed {
+		return admission.Skip
 	}
 	if r.prefillTokens == 0 || r.prefillTokens+j.missing <= r.settings.Queue.PrefillTokens {
-		return admission.Go
+		return admission.Dispatch
 	}
 	if item.Waited(now) > passedFor {
 		return admission.Block
 	}
-	return admission.Pass
+	return admission.Skip
 }
 
 func (r *runner) begin(j *job, now time.Time) {
@@ -73,7 +73,7 @@
 	r.running++
 	r.prefillTokens += j.missing
 	r.pace.begin(now)
-	count(r.belief.computing, j.item.Hashes, 1)
+	count(r.belief.computing, j.item.PrefixHashes, 1)
 	r.metrics.queueWait.Observe(j.item.Waited(now).Seconds())
 	go r.run(j)
 }
--- a/agent/job.go
+++ b/agent/job.go
@@ -62,11 +62,11 @@
 		unread: now,
 	}
 	j.item = &admission.Item{
-		ID:       j.id,
-		Customer: req.Customer,
-		Weight:   int(req.Weight),
-		Priority: int(req.Priority),
-		Hashes:   req.BoundaryHash,
+		ID:           j.id,
+		Customer:     req.Customer,
+		Weight:       int(req.Weight),
+		Priority:     int(req.Priority),
+		PrefixHashes: req.BoundaryHash,
 	}
 	if req.DeadlineMs > 0 {
 		j.item.Deadline = now.Add(time.Duration(req.DeadlineMs) * time.Millisecond)
--- a/agent/permit.go
+++ b/agent/permit.go
@@ -56,8 +56,8 @@
 
 func notHome() *refusal.Error {
 	r := refusal.NewUnknown("this agent is not the home of the key")
-	r.Kind = refusal.NotHome
-	return r.After(time.Second)
+	r.Kind = refusal.NotOwner
+	return r.WithRetryAfter(time.Second)
 }
 
 // platformDown refuses a call that can't be claimed. It says "not run" only
@@ -66,7 +66,7 @@
 func (c *caller) platformDown(home bool, since time.Time) *refusal.Error {
 	r := refusal.New(refusal.PlatformDown,
 		"come back after the time in Retry-After with the same key, or use UUIDv7 keys, which are served during an outage",
-		"the platform's service is down and the key can't be proved new").After(platformRetry)
+		"the platform's service is down and the key can't be proved new").WithRetryAfter(platformRetry)
 	if !home || time.Since(c.freshness(since).Since) < repeatWindow {
 		r.Outcome = refusal.Unknown
 	}
--- a/agent/runner.go
+++ b/agent/runner.go
@@ -67,11 +67,11 @@
 	case r.stopping:
 		return refusal.New(refusal.Stopping, "send to another entry or again at once", "the agent is stopping")
 	case !r.state.up:
-		return refusal.New(refusal.NotReady, "another runner takes the request", "the engine does not answer")
+		return refusal.New(refusal.TargetNotReady, "another runner takes the request", "the engine does not answer")
 	case r.state.loading || r.draining:
-		return refusal.New(refusal.NotReady, "another runner takes the request", "the engine loads weights")
+		return refusal.New(refusal.TargetNotReady, "another runner takes the request", "the engine loads weights")
 	case r.state.weightsVersion != weightsVersion:
-		return refusal.New(refusal.NotReady, "another runner takes the request",
+		return refusal.New(refusal.TargetNotReady, "another runner takes the request",
 			"the engine has weights %q, not %q", r.state.weightsVersion, weightsVersion)
 	}
 	return nil
@@ -92,12 +92,12 @@
 	}
 	j := newJob(req, 0, now)
 	r.estimate(j, now)
-	decision := r.queue.Push(j.item, r.wait(r.queue.Share(req.Customer, int(req.Priority)), now), now)
-	if decision.Refused != admission.Taken {
+	decision := r.queue.Push(j.item, r.wait(r.queue.ExpectedBacklog(req.Customer, int(req.Priority)), now), now)
+	if decision.Refused != admission.Admitted {
 		return nil, queueRefusal(decision.Refused, decision.RetryAfter)
 	}
 	if decision.Evicted != nil {
-		r.finish(r.jobs[decision.Evicted.ID], stream.Finish{Err: queueRefusal(admission.Full, decision.RetryAfter)}, now)
+		r.finish(r.jobs[decision.Evicted.ID], stream.Finish{Err: queueRefusal(admission.QueueFull, decision.RetryAfter)}, now)
 	}
 	r.jobs[j.id] = j
 	count(r.belief.coming, req.BoundaryHash, 1)
@@ -108,12 +108,12 @@
 func queueRefusal(reason admission.Reason, after time.Duration) *refusal.Error {
 	remedy := "come back after the time in Retry-After"
 	switch reason {
-	case admission.TooLate:
-		return refusal.New(refusal.DeadlineUnmet, remedy, "the queue is longer than the caller's deadline").After(after)
+	case admission.DeadlineUnmet:
+		return refusal.New(refusal.DeadlineUnmet, remedy, "the queue is longer than the caller's deadline").WithRetryAfter(after)
 	case admission.Canceled:
 		return refusal.New(refusal.Canceled, "nothing", "the caller left")
 	}
-	return refusal.New(refusal.QueueFull, remedy, "the target's queue is full").After(after)
+	return refusal.New(refusal.QueueFull, remedy, "the target's queue is full").WithRetryAfter(after)
 }
 
 // eventWorthy is how many computed tokens surely make a cache event: several blocks.
@@ -132,7 +132,7 @@
 	}
 	j.phase = decoding
 	if j.bootID == r.state.bootID {
-		count(r.belief.pinned, j.item.Hashes, 1)
+		count(r.belief.pinned, j.item.PrefixHashes, 1)
 	}
 	r.touch(j, now)
 	r.dispatch(now)
@@ -141,8 +141,8 @@
 // touch tells the view which blocks a request has used.
 func (r *runner) touch(j *job, now time.Time) {
 	r.belief.view.Tick(r.clock(now))
-	if n := len(j.item.Hashes); n > 0 {
-		r.belief.view.Touch(j.req.Root, j.item.Hashes[n-1])
+	if n := len(j.item.PrefixHashes); n > 0 {
+		r.belief.view.Touch(j.req.Root, j.item.PrefixHashes[n-1])
 	}
 }
 
@@ -154,8 +154,8 @@
 func (r *runner) endPrefill(j *job, whole bool, now time.Time) {
 	r.pace.end(j.missing, whole, now)
 	r.prefillTokens -= j.missing
-	count(r.belief.computing, j.item.Hashes, -1)
-	count(r.belief.coming, j.item.Hashes, -1)
+	count(r.belief.computing, j.item.PrefixHashes, -1)
+	count(r.belief.coming, j.item.PrefixHashes, -1)
 }
 
 // end ends a job that the engine had.
@@ -174,7 +174,7 @@
 	case ended:
 		return
 	case waiting:
-		count(r.belief.coming, j.item.Hashes, -1)
+		count(r.belief.coming, j.item.PrefixHashes, -1)
 	case prefilling:
 		r.endPrefill(j, false, now)
 		r.running--
@@ -182,8 +182,8 @@
 		r.running--
 		r.hold += time.Duration(holdWeight * float64(now.Sub(j.dispatched)-r.hold))
 		if j.bootID == r.state.bootID {
-			count(r.belief.pinned, j.item.Hashes, -1)
-			r.belief.vouch(j.item.Hashes, now)
+			count(r.belief.pinned, j.item.PrefixHashes, -1)
+			r.belief.vouch(j.item.PrefixHashes, now)
 		}
 	}
 	j.phase = ended
@@ -228,8 +228,8 @@
 
 // expire refuses the waiting requests whose caller has stopped waiting.
 func (r *runner) expire(now time.Time) {
-	for _, item := range r.queue.Expired(now) {
-		r.finish(r.jobs[item.ID], stream.Finish{Err: queueRefusal(admission.TooLate, r.queue.Cost())}, now)
+	for _, item := range r.queue.RemoveExpired(now) {
+		r.finish(r.jobs[item.ID], stream.Finish{Err: queueRefusal(admission.DeadlineUnmet, r.queue.Cost())}, now)
 	}
 }
 
--- a/agent/settings.go
+++ b/agent/settings.go
@@ -149,7 +149,7 @@
 }
 
 func (q QueueSettings) limits() admission.Limits {
-	return admission.Limits{Length: q.Length, Wait: settings.Millis(q.WaitMS)}
+	return admission.Limits{MaxLength: q.Length, MaxWait: settings.Millis(q.WaitMS)}
 }
 
 // tombstones is how long an abandoned attempt is remembered: no copy of a
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -43,8 +43,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.own.Request(now)
-	b.of(customer, now).Request(now)
+	b.own.RecordRequest(now)
+	b.of(customer, now).RecordRequest(now)
 }
 
 // take takes one retry of a customer out of both budgets.
--- a/entry/call.go
+++ b/entry/call.go
@@ -79,7 +79,7 @@
 	defer e.contracts.end(c.caller.name, 0)
 	e.budget.request(c.caller.name)
 	call := &pendingCall{entry: e, call: c, request: e.callRequest(c, spec)}
-	call.order = placement.CallOrder(snapshot.TargetsOfService(c.service), call.request.IdempotencyKey)
+	call.order = placement.RankTargets(snapshot.TargetsOfService(c.service), call.request.IdempotencyKey)
 	if call.boundToHome() && len(call.order) > 1 {
 		call.order = call.order[:1]
 	}
@@ -133,7 +133,7 @@
 // run sends the call to the targets in order until one has a final answer.
 // A call that may not be repeated goes on only after a truthful "not run".
 func (p *pendingCall) run(ctx context.Context) (*keelv1.CallResponse, *refusal.Error) {
-	last := refusal.New(refusal.NoTarget, "come back after the time in Retry-After", "service %q has no target that answers", p.call.service).After(noTargetRetry)
+	last := refusal.New(refusal.NoTarget, "come back after the time in Retry-After", "service %q has no target that answers", p.call.service).WithRetryAfter(noTargetRetry)
 	for _, name := range p.usableOrder() {
 		if p.sends > 0 && !p.entry.budget.take(p.call.caller.name) {
 			p.entry.metrics.budgetSpent.Inc()
@@ -179,7 +179,7 @@
 	if next == nil {
 		return answer, nil
 	}
-	if next.Kind == refusal.HeldElsewhere || next.Kind == refusal.Restarted || isUnreached(next) {
+	if next.Kind == refusal.HeldElsewhere || next.Kind == refusal.AgentRestarted || isUnreached(next) {
 		return nil, refusal.NewUnknown("the agent that had the call can't be reached (%s)", refused.Message)
 	}
 	return nil, next
@@ -208,7 +208,7 @@
 		return nil, p.unreached(name, err)
 	}
 	answer, refused := p.sendAs(ctx, name, incarnation)
-	if refused == nil || refused.Kind != refusal.Restarted {
+	if refused == nil || refused.Kind != refusal.AgentRestarted {
 		return answer, refused
 	}
 	p.entry.incarnations.set(name, answer.Incarnation)
--- a/entry/choose.go
+++ b/entry/choose.go
@@ -35,7 +35,7 @@
 	name        string
 	url         string
 	reservation uint64
-	answer      placement.Answer
+	answer      placement.Estimate
 }
 
 // Bounds of the asking.
@@ -54,7 +54,7 @@
 	question question
 	runners  []placement.Runner
 	order    []int32
-	answers  []placement.Answer
+	answers  []placement.Estimate
 	// reservation is the number that agents hold time under.
 	reservation uint64
 }
@@ -72,7 +72,7 @@
 	best := s.decide(ctx)
 	if best < 0 {
 		return chosen{}, refusal.New(refusal.NoTarget, "come back after the time in Retry-After",
-			"none of the %d runners of model %q is ready", len(s.runners), q.model).After(noTargetRetry)
+			"none of the %d runners of model %q is ready", len(s.runners), q.model).WithRetryAfter(noTargetRetry)
 	}
 	name := s.runners[s.order[best]].Name
 	c := chosen{name: name, url: t.agentURL[name], reservation: s.reservation}
@@ -82,13 +82,13 @@
 	return c, nil
 }
 
-var orderers = sync.Pool{New: func() any { return &placement.Orderer{} }}
+var orderers = sync.Pool{New: func() any { return &placement.Ranker{} }}
 
 // rank puts the usable runners into the policy's order: those of the entry's
 // own region, and all where the region has none.
 func (s *selection) rank() {
 	q := s.question
-	filters := []placement.Filter{placement.Staying, placement.Except(q.tried), s.usable}
+	filters := []placement.Filter{placement.NotDraining, placement.Except(q.tried), s.usable}
 	own := placement.InRegion(s.entry.settings.Self.Region)
 	indices := placement.Apply(s.runners, nil, append(filters, own)...)
 	if len(indices) == 0 {
@@ -108,9 +108,9 @@
 		m = len(indices)
 		levels = levels[:min(1, len(levels))]
 	}
-	o := orderers.Get().(*placement.Orderer)
+	o := orderers.Get().(*placement.Ranker)
 	defer orderers.Put(o)
-	s.order = o.Order(s.runners, indices, levels, q.preference.LevelWidths, m)
+	s.order = o.Rank(s.runners, indices, levels, q.preference.LevelWidths, m)
 }
 
 func (s *selection) usable(r *placement.Runner) bool {
@@ -131,7 +131,7 @@
 		return -1
 	}
 	p := s.question.preference
-	weights := placement.Weights{Miss: p.MissWeight, Wait: p.WaitWeight}
+	weights := placement.CostWeights{Miss: p.MissWeight, Wait: p.WaitWeight}
 	switch p.Policy {
 	case policyRandom:
 		return 0
@@ -139,10 +139,10 @@
 		return s.bounded()
 	case policyLeastLoad:
 		s.ask(ctx, len(s.order))
-		return placement.Pick(s.answers, 0, placement.Weights{Wait: 1})
+		return placement.Pick(s.answers, 0, placement.CostWeights{Wait: 1})
 	case policyOracle:
 		s.ask(ctx, len(s.order))
-		placement.FillRates(s.answers)
+		placement.FillPrefillRates(s.answers)
 		return placement.Pick(s.answers, s.question.chain.Tokens, weights)
 	}
 	return s.widen(ctx, weights)
@@ -162,14 +162,14 @@
 // widen asks the first runners in order, and the next ones as long as the
 // best answer would make the caller wait, for the queue or for its prefill:
 // somebody further down may hold the prefix, or have room for it.
-func (s *selection) widen(ctx context.Context, weights placement.Weights) int {
+func (s *selection) widen(ctx context.Context, weights placement.CostWeights) int {
 	limit := float64(s.question.preference.WidenWaitMS) / 1000
 	best := -1
 	for len(s.answers) < min(maxAsked, len(s.order)) {
 		s.ask(ctx, min(len(s.answers)+s.question.preference.Candidates, len(s.order)))
-		placement.FillRates(s.answers)
+		placement.FillPrefillRates(s.answers)
 		best = placement.Pick(s.answers, s.question.chain.Tokens, weights)
-		if best >= 0 && placement.FirstToken(s.answers[best], s.question.chain.Tokens) <= limit {
+		if best >= 0 && placement.TimeToFirstToken(s.answers[best], s.question.chain.Tokens) <= limit {
 			break
 		}
 	}
@@ -181,7 +181,7 @@
 	ctx, cancel := context.WithTimeout(ctx, settings.Millis(s.entry.settings.Routing.AskTimeoutMS))
 	defer cancel()
 	from := len(s.answers)
-	s.answers = append(s.answers, make([]placement.Answer, n-from)...)
+	s.answers = append(s.answers, make([]placement.Estimate, n-from)...)
 	request := s.askRequest()
 	request.Asked = uint32(n - from)
 	var wg sync.WaitGroup
@@ -217,25 +217,25 @@
 	return hashes, tokens
 }
 
-func (s *selection) askOne(ctx context.Context, r placement.Runner, request *keelv1.AskRequest) placement.Answer {
+func (s *selection) askOne(ctx context.Context, r placement.Runner, request *keelv1.AskRequest) placement.Estimate {
 	e := s.entry
 	peer := e.links.Peer(s.table.agentURL[r.Name])
 	clients := peer.Clients()
 	response, err := clients.Agent.Ask(ctx, connect.NewRequest(request))
 	if errors.Is(ctx.Err(), context.Canceled) {
 		// The caller left, or another answer was enough: no sign of the agent.
-		return placement.Answer{}
+		return placement.Estimate{}
 	}
 	if err != nil {
 		e.metrics.askFailures.Inc()
 		e.opinions.failed(r.Name)
 		peer.Renew(clients)
-		return placement.Answer{}
+		return placement.Estimate{}
 	}
 	e.opinions.succeeded(r.Name)
 	e.rollouts.note(r.Name, response.Msg.Weights)
 	e.follower.Hint(int64(response.Msg.ConfigRevision))
-	a := placement.Answer{
+	a := placement.Estimate{
 		Ready:           response.Msg.Ready,
 		CachedTokens:    int(response.Msg.CachedTokens),
 		WaitSeconds:     float64(response.Msg.WaitUs) / 1e6,
@@ -244,7 +244,7 @@
 		PenaltySeconds:  e.opinions.penalty(r.Name).Seconds(),
 	}
 	if r.DataCentre != e.settings.Self.DataCentre {
-		a.LinkSeconds = e.settings.Routing.OtherDataCentreMS / 1000
+		a.NetworkSeconds = e.settings.Routing.OtherDataCentreMS / 1000
 	}
 	return a
 }
--- a/entry/contracts.go
+++ b/entry/contracts.go
@@ -52,7 +52,7 @@
 		return nil
 	}
 	return refusal.New(refusal.ContractExceeded, "come back after the time in Retry-After, or ask the operator for a larger contract",
-		"the contract's limit of %s is met", exceeded).After(after)
+		"the contract's limit of %s is met", exceeded).WithRetryAfter(after)
 }
 
 // end ends a request, charging the tokens it generated.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -156,7 +156,7 @@
 	case <-e.configured:
 		return nil
 	case <-ctx.Done():
-		return refusal.New(refusal.NotReady, "send to another entry, or come back after the time in Retry-After", "this entry has no configuration yet").After(time.Second)
+		return refusal.New(refusal.TargetNotReady, "send to another entry, or come back after the time in Retry-After", "this entry has no configuration yet").WithRetryAfter(time.Second)
 	}
 }
 
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -168,7 +168,7 @@
 	snapshot := e.table.Load().snapshot()
 	r.Spec = resource.KeepPrevious(r, snapshot)
 	if err := resource.Validate(r, snapshot); err != nil {
-		return nil, refusal.New(refusal.Invalid, "correct it and apply again", "%s %q: %v", r.Kind, r.Name, err)
+		return nil, refusal.New(refusal.InvalidResource, "correct it and apply again", "%s %q: %v", r.Kind, r.Name, err)
 	}
 	if req.dryRun {
 		return r, nil
@@ -186,7 +186,7 @@
 func (e *Entry) deleteEndpoint(ctx context.Context, request any) (any, error) {
 	req := request.(resourceRequest)
 	if err := resource.InUse(req.kind, req.name, e.table.Load().snapshot()); err != nil {
-		return nil, refusal.New(refusal.Invalid, "delete or change those first", "%v", err)
+		return nil, refusal.New(refusal.InvalidResource, "delete or change those first", "%v", err)
 	}
 	key := resource.Key(req.kind, req.name)
 	revision, err := e.remove(ctx, key, req.version)
--- a/entry/session.go
+++ b/entry/session.go
@@ -151,8 +151,8 @@
 	switch {
 	case sent > 0:
 		return retry.Continued
-	case r.Kind == refusal.NotReady || r.Kind == refusal.Stopping:
-		return retry.TargetAway
+	case r.Kind == refusal.TargetNotReady || r.Kind == refusal.Stopping:
+		return retry.TargetUnavailable
 	case r.Outcome == refusal.NotRun:
 		return retry.Unreachable
 	}
--- a/entry/write.go
+++ b/entry/write.go
@@ -52,7 +52,7 @@
 }
 
 func platformDown() *refusal.Error {
-	return refusal.New(refusal.PlatformDown, "apply again when it is back", "the platform's service can't be reached; nothing was changed").After(2 * time.Second)
+	return refusal.New(refusal.PlatformDown, "apply again when it is back", "the platform's service can't be reached; nothing was changed").WithRetryAfter(2 * time.Second)
 }
 
 // settleWrite reads what became of a write. It is settled unless the key
--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -31,7 +31,7 @@
 	// OldWeightsFor is for how long after newer weights were named runners
 	// with older ones may begin requests.
 	OldWeightsFor time.Duration
-	Weights       placement.Weights
+	Weights       placement.CostWeights
 	// Alone asks for the target at which the fewest others run, and Apart are targets
 	// to be left out if any other may be used. AtAnyRate asks for that also where all
 	// targets are among those.
@@ -111,12 +111,12 @@
 		s := f.states[r.Name]
 		return s.rest.left(now) == 0 && f.open(s, now) && f.usable(q, s, now)
 	}
-	indices := placement.Apply(g.placed, nil, placement.Staying, placement.Except(f.present(q.Tried)), usable)
+	indices := placement.Apply(g.placed, nil, placement.NotDraining, placement.Except(f.present(q.Tried)), usable)
 	if len(indices) == 0 {
 		return Choice{}, false
 	}
 	indices = answering(g, indices)
-	if q.Alone && !f.off[policy.Alone] {
+	if q.Alone && !f.off[policy.SuspectIsolation] {
 		if c, ok := f.chooseAlone(q, g, indices, now); ok {
 			return c, true
 		}
@@ -220,9 +220,9 @@
 func (f *Fleet) chooseCached(q Query, g *group, indices []int32, now time.Time) Choice {
 	newest := f.named[q.Model].newest()
 	chain := q.Chain(newest)
-	var o placement.Orderer
-	order := o.Order(g.placed, indices, chain.Levels, nil, min(f.compared(q, len(indices), now), len(indices)))
-	answers := make([]placement.Answer, len(order))
+	var o placement.Ranker
+	order := o.Rank(g.placed, indices, chain.Levels, nil, min(f.compared(q, len(indices), now), len(indices)))
+	answers := make([]placement.Estimate, len(order))
 	fetches := make([]fetch, len(order))
 	chains := map[int64]prefix.Chain{newest: chain}
 	holdings := map[int64]holding{}
@@ -249,10 +249,10 @@
 }
 
 // expect fills in what is expected of a choice by its target's answer.
-func (f *Fleet) expect(c *Choice, q Query, a placement.Answer, tokens int, now time.Time) {
+func (f *Fleet) expect(c *Choice, q Query, a placement.Estimate, tokens int, now time.Time) {
 	e := f.engine(q.Service)
 	c.Wait = time.Duration(a.WaitSeconds * float64(time.Second))
-	c.FirstToken = e.Fixed(now) + time.Duration(placement.FirstToken(a, tokens)*float64(time.Second))
+	c.FirstToken = e.Fixed(now) + time.Duration(placement.TimeToFirstToken(a, tokens)*float64(time.Second))
 	c.Reading = e.Reading(max(0, tokens-a.CachedTokens), tokens, now)
 	c.Known = e.Known()
 	e.Brought(c.Reading, q.light, now)
@@ -298,25 +298,25 @@
 
 // answer returns what is expected of a prompt at a runner, with the transfer that
 // it would begin with.
-func (f *Fleet) answer(q Query, s *state, chains map[int64]prefix.Chain, h holding, now time.Time) (placement.Answer, fetch) {
+func (f *Fleet) answer(q Query, s *state, chains map[int64]prefix.Chain, h holding, now time.Time) (placement.Estimate, fetch) {
 	weights := s.version(q.Model)
 	chain := q.chainOf(chains, weights)
 	cached := s.cache.tokens(chain)
 	e := f.engine(q.Service)
 	var from fetch
-	if !f.off[policy.Fetching] {
+	if !f.off[policy.CacheFetching] {
 		from = f.bestFetch(h, e, s, cached, chain.Tokens, now)
 	}
-	a := placement.Answer{
+	a := placement.Estimate{
 		Ready:          true,
 		CachedTokens:   cached + from.tokens,
 		PenaltySeconds: s.health.Penalty(now).Seconds(),
-		LinkSeconds:    f.linkCost(s).Seconds(),
+		NetworkSeconds: f.linkCost(s).Seconds(),
 	}
 	if from.moved.Runner == 0 {
-		a.LinkSeconds += f.farFetch(q, chain, s, cached).Seconds()
+		a.NetworkSeconds += f.farFetch(q, chain, s, cached).Seconds()
 	}
-	a.LinkSeconds += displaced * e.Backlog(from.tokens, now).Seconds()
+	a.NetworkSeconds += displaced * e.Backlog(from.tokens, now).Seconds()
 	if missing := chain.Tokens - a.CachedTokens; missing > 0 {
 		a.PrefillRate = float64(missing) / e.Reading(missing, chain.Tokens, now).Seconds()
 	}
--- a/fleet/dense.go
+++ b/fleet/dense.go
@@ -57,12 +57,12 @@
 	if len(indices) == 0 {
 		return nil
 	}
-	var o placement.Orderer
+	var o placement.Ranker
 	weights := g.states[indices[0]].version(q.Model)
 	hash := prefix.NameHash(q.Model + " " + strconv.FormatInt(weights, 10))
 	level := []prefix.Boundary{{Hash: hash}}
 	var begun, empty []roomy
-	for _, i := range o.Order(g.placed, indices, level, nil, len(indices)) {
+	for _, i := range o.Rank(g.placed, indices, level, nil, len(indices)) {
 		s := g.states[i]
 		full := math.Floor(denseShare * float64(s.runner.Slots))
 		if !f.packable(q, full, now) {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -85,7 +85,7 @@
 	engines map[string]*forecast.Engine
 	members members
 	zone    string
-	off     policy.Off
+	off     policy.Disabled
 	// tellers are the processes of the group that told their load lately.
 	tellers map[string]*teller
 	// news is about how old the word of the others of the group on their load gets,
@@ -129,7 +129,7 @@
 }
 
 // Without switches mechanisms off, before the view is used.
-func (f *Fleet) Without(off policy.Off) {
+func (f *Fleet) Without(off policy.Disabled) {
 	f.off = off
 }
 
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -21,7 +21,7 @@
 		Service:       "lm",
 		Model:         "m",
 		OldWeightsFor: 6 * time.Second,
-		Weights:       placement.Weights{Miss: 2, Wait: 1},
+		Weights:       placement.CostWeights{Miss: 2, Wait: 1},
 		Chain: func(weights int64) prefix.Chain {
 			hash := uint64(weights) * 1000
 			shared := prefix.Boundary{Hash: hash + 1, Tokens: 6000}
--- a/fleet/light.go
+++ b/fleet/light.go
@@ -33,7 +33,7 @@
 // requests keep half busy; where that is half of them or more, or nothing heavy
 // comes, none are kept apart.
 func (f *Fleet) keptLight(q Query, g *group, indices []int32, now time.Time) map[int32]bool {
-	if f.off[policy.Apart] {
+	if f.off[policy.ReserveForLight] {
 		return nil
 	}
 	mix := f.engine(q.Service).Mix(now)
@@ -44,8 +44,8 @@
 	newest := f.named[q.Model].newest()
 	level := []prefix.Boundary{{Hash: prefix.NameHash(q.Model + " light " + strconv.FormatInt(newest, 10))}}
 	kept := make(map[int32]bool, need)
-	var o placement.Orderer
-	order := o.Order(g.placed, indices, level, nil, len(indices))
+	var o placement.Ranker
+	order := o.Rank(g.placed, indices, level, nil, len(indices))
 	for _, current := range []bool{true, false} {
 		for _, i := range order {
 			if len(kept) < need && (g.states[i].version(q.Model) >= newest) == current {
--- a/fleet/occupancy.go
+++ b/fleet/occupancy.go
@@ -177,7 +177,7 @@
 // the time that runs hold theirs.
 func (f *Fleet) memoryWait(q Query, load Occupancy, needs int, now time.Time) time.Duration {
 	over := load.Held + needs - q.Capacity
-	if q.Capacity <= 0 || over <= 0 || load.Held <= 0 || f.off[policy.Memory] {
+	if q.Capacity <= 0 || over <= 0 || load.Held <= 0 || f.off[policy.MemoryBackpressure] {
 		return 0
 	}
 	return time.Duration(float64(over) / float64(load.Held) * float64(f.engine(q.Service).HeldFor()))
@@ -189,7 +189,7 @@
 
 // memoryRoom returns for how many more runs like this one a target has memory.
 func (f *Fleet) memoryRoom(q Query, load Occupancy) float64 {
-	if q.Capacity <= 0 || f.off[policy.Memory] {
+	if q.Capacity <= 0 || f.off[policy.MemoryBackpressure] {
 		return math.Inf(1)
 	}
 	return (memoryShare*float64(q.Capacity) - float64(load.Held)) / float64(max(1, HeldTokens(q.Input, 0, q.Output)))
--- a/fleet/occupancy_test.go
+++ b/fleet/occupancy_test.go
@@ -84,7 +84,7 @@
 	poolPatience = 10
 )
 
-func newPool(off policy.Off) *pool {
+func newPool(off policy.Disabled) *pool {
 	p := &pool{fleet: New("z"), random: rand.New(rand.NewPCG(5, 5)), held: map[string]int{}, waiting: map[string][]*poolRun{}, ends: map[int][]*poolRun{}}
 	p.fleet.Without(off)
 	p.fleet.Name("m", 1, start.Add(-time.Hour), false)
@@ -145,7 +145,7 @@
 
 // Guards against runs that wait for memory while other targets have some.
 func TestMemoryOfTargetsIsShared(t *testing.T) {
-	waited := func(off policy.Off) float64 {
+	waited := func(off policy.Disabled) float64 {
 		p := newPool(off)
 		for step := range 2000 {
 			p.end(step)
@@ -160,7 +160,7 @@
 		}
 		return float64(p.waited) / float64(p.runs)
 	}
-	with, without := waited(nil), waited(policy.Off{policy.Memory: true})
+	with, without := waited(nil), waited(policy.Disabled{policy.MemoryBackpressure: true})
 	t.Logf("%.3f waited for memory, %.3f by slots alone", with, without)
 	if with > without/2 {
 		t.Errorf("%.3f of the runs waited for memory, %.3f where it does not count", with, without)
--- a/fleet/store.go
+++ b/fleet/store.go
@@ -64,7 +64,7 @@
 // "" where they are there already or on their way. By is the target that sends
 // them.
 func (f *Fleet) saveTo(chain prefix.Chain, by string, now time.Time) string {
-	if sharedTokens(chain) < movedLeast || f.off[policy.Saving] {
+	if sharedTokens(chain) < movedLeast || f.off[policy.CacheSaving] {
 		return ""
 	}
 	deepest := chain.Levels[len(chain.Levels)-1].Hash
@@ -131,7 +131,7 @@
 // zone: such a transfer takes twice as long, and all runners share that link.
 func (f *Fleet) farFetch(q Query, chain prefix.Chain, s *state, cached int) time.Duration {
 	lacks := sharedTokens(chain) - cached
-	if lacks <= 0 || f.off[policy.FarLinks] {
+	if lacks <= 0 || f.off[policy.CrossDataCentreLinks] {
 		return 0
 	}
 	_, k := f.storeOf(chain.Levels[len(chain.Levels)-1].Hash)
--- a/fleet/unseen.go
+++ b/fleet/unseen.go
@@ -58,7 +58,7 @@
 // decisions as are unseen spread over all of them: then each meets one of the
 // others about twice, and the order, which differs with each prompt, does the rest.
 func (f *Fleet) compared(q Query, n int, now time.Time) int {
-	if f.off[policy.FewCompared] {
+	if f.off[policy.CandidateSampling] {
 		return askedMost
 	}
 	unseen := f.engine(q.Service).Mix(now).Heavies * f.unseenFor().Seconds()
--- a/internal/load/micro.go
+++ b/internal/load/micro.go
@@ -80,10 +80,10 @@
 			runners[i] = placement.NewRunner(fmt.Sprintf("runner-%d", i), "d", "r", false)
 			indices[i] = int32(i)
 		}
-		var o placement.Orderer
+		var o placement.Ranker
 		s.Add(float64(n), timeOf(5000, func(i int) {
 			levels := []prefix.Boundary{{Hash: uint64(i)}, {Hash: uint64(i) + 7}}
-			o.Order(runners, indices, levels, []int{3}, maxOrder)
+			o.Rank(runners, indices, levels, []int{3}, maxOrder)
 		}))
 	}
 	return s
--- a/internal/trial/ends.go
+++ b/internal/trial/ends.go
@@ -50,7 +50,7 @@
 func (e Ends) Run(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "without\tseed\trunners ended\tothers sent\tbroken\tunserved\trefused wrongly\t")
-	for _, without := range []policy.Off{{policy.Suspecting: true}, {policy.Alone: true}, nil} {
+	for _, without := range []policy.Disabled{{policy.PoisonDetection: true}, {policy.SuspectIsolation: true}, nil} {
 		for seed := range e.Seeds {
 			c, err := e.play(uint64(seed+1), without)
 			if err != nil {
@@ -62,14 +62,14 @@
 	return w.Flush()
 }
 
-func names(off policy.Off) string {
+func names(off policy.Disabled) string {
 	for m := range off {
 		return string(m)
 	}
 	return "nothing"
 }
 
-func (e Ends) play(seed uint64, without policy.Off) (*count, error) {
+func (e Ends) play(seed uint64, without policy.Disabled) (*count, error) {
 	s, err := newSite(e.Entries, e.Runners, pace, without)
 	if err != nil {
 		return nil, err
@@ -158,6 +158,6 @@
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	refused := strings.Contains(string(text), string(refusal.EndsTargets)) || strings.Contains(string(text), string(refusal.SuspectUnderWay))
+	refused := strings.Contains(string(text), string(refusal.CrashesTargets)) || strings.Contains(string(text), string(refusal.SuspectInProgress))
 	return answer{served: resp.StatusCode == http.StatusOK && err == nil, refused: refused}
 }
--- a/internal/trial/site.go
+++ b/internal/trial/site.go
@@ -44,7 +44,7 @@
 	readyEvery  = 20 * time.Millisecond
 )
 
-func newSite(entries, runners int, pace time.Duration, without policy.Off) (*site, error) {
+func newSite(entries, runners int, pace time.Duration, without policy.Disabled) (*site, error) {
 	s := &site{store: kv.NewStore(0), stop: make(chan struct{})}
 	s.server = httptest.NewServer(kv.NewServer(s.store).Handler())
 	for i := range runners {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func (s *site) startNode(i int, without policy.Off) (*node.Node, error) {
+func (s *site) startNode(i int, without policy.Disabled) (*node.Node, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	n := node.New(platform.Node{
--- a/node/foreign.go
+++ b/node/foreign.go
@@ -178,7 +178,7 @@
 		v.enlist(e.Key, "")
 	}
 	if e.Key == v.keys.seat {
-		v.seat.Foreign(e.Revision)
+		v.seat.ObserveForeign(e.Revision)
 		v.holder.Wake()
 	}
 	v.foreign.say(e)
--- a/node/node.go
+++ b/node/node.go
@@ -70,7 +70,7 @@
 	// Dropped, where set, returns how many log lines were lost.
 	Dropped func() int64
 	// Without are the mechanisms that are switched off.
-	Without policy.Off
+	Without policy.Disabled
 }
 
 func (o Options) dropped() int64 {
@@ -144,13 +144,13 @@
 	}
 	n.view.oldWeights = time.Duration(s.Bounds.VersionMS)*time.Millisecond - oldWeightsMargin
 	n.view.verdicts = verdicts.NewKeeper(n.store, n.registry, log)
-	n.view.seat = rollout.NewSeat(n.store, n.session, n.view.keys.seat, n.name, time.Duration(s.Bounds.LeaseMS)*time.Millisecond, log)
+	n.view.seat = rollout.NewLeaderLock(n.store, n.session, n.view.keys.seat, n.name, time.Duration(s.Bounds.LeaseMS)*time.Millisecond, log)
 	n.pulse = newPulse(n.name, targets, n.view.verdicts.Table, n.view, log)
 	n.view.verdicts.Seat, n.view.verdicts.Soon = n.view.seat, n.pulse.soon
 	n.pulse.digest.counted = telemetry.NewCounter(n.registry, "keel_node_digests_total", "Digests between groups of entries: told, passed_on, left_out.", "what")
-	n.view.holder = rollout.NewHolder(s.Name, rollout.Surroundings{
-		Office: n.view.seat, Orderer: runners, Fleet: targets, Services: n.view.services, Told: n.pulse.soon, Metrics: rollout.NewMetrics(n.registry),
-		Bound: n.view.oldWeights,
+	n.view.holder = rollout.NewController(s.Name, rollout.Config{
+		Leadership: n.view.seat, Client: runners, Fleet: targets, Services: n.view.services, Notify: n.pulse.soon, Metrics: rollout.NewMetrics(n.registry),
+		MaxStaleness: n.view.oldWeights,
 	}, log)
 	targets.OnRebirth(n.view.reborn)
 	targets.OnEnded(func(l fleet.Life) { n.view.verdicts.Table.Ended(l, time.Now()) })
@@ -294,7 +294,7 @@
 		n.log.WithError(err).WithField("event", "enrol_failed").Warn("the others count this node out until its next lease")
 	}
 	if n.seeks() {
-		n.view.seat.Seek(ctx)
+		n.view.seat.TryAcquire(ctx)
 	}
 }
 
@@ -328,7 +328,7 @@
 		if n.view.follower.Away() || n.view.Config() == nil || !n.seeks() {
 			continue
 		}
-		if n.view.seat.Seek(ctx) {
+		if n.view.seat.TryAcquire(ctx) {
 			n.view.holder.Wake()
 		}
 	}
--- a/node/pulse.go
+++ b/node/pulse.go
@@ -201,7 +201,7 @@
 	if now.Sub(p.toldEngines) >= enginesEvery {
 		all.Engines, p.toldEngines = p.fleet.Words(now), now
 	}
-	if p.fleet.Off(policy.Telling) {
+	if p.fleet.Off(policy.LoadSharing) {
 		all.Loads = nil
 	}
 	all.Limits, all.Targets = p.view.limitBook.Words(now), p.view.targetBook.Words(now)
--- a/node/stop.go
+++ b/node/stop.go
@@ -69,7 +69,7 @@
 func (n *Node) leaveOthers(end time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
-	n.view.holder.Blind()
+	n.view.holder.DisableTruncation()
 	n.tell("the membership", n.leaveMembers(ctx))
 	if n.view.others() > 0 {
 		n.tell("the seat", n.view.seat.Release(ctx))
--- a/node/view.go
+++ b/node/view.go
@@ -28,8 +28,8 @@
 	fleet    *fleet.Fleet
 	log      logrus.FieldLogger
 	follower *follow.Follower
-	seat     *rollout.Seat
-	holder   *rollout.Holder
+	seat     *rollout.LeaderLock
+	holder   *rollout.Controller
 	verdicts *verdicts.Keeper
 	// staleAfter is the age beyond which keys are not believed.
 	staleAfter time.Duration
@@ -306,7 +306,7 @@
 		return
 	}
 	v.foreign.forget(v.keys.seat)
-	v.seat.Seen(holder, revision)
+	v.seat.Observe(holder, revision)
 	v.holder.Wake()
 }
 
@@ -351,7 +351,7 @@
 	v.foreign.relisted(platform.OwnPrefix, func(key string) bool { return keys[key] })
 	v.verdicts.Relisted(keys)
 	if !keys[v.keys.seat] {
-		v.seat.Seen("", revision)
+		v.seat.Observe("", revision)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/node/view_test.go
+++ b/node/view_test.go
@@ -58,7 +58,7 @@
 	log.SetOutput(io.Discard)
 	f := fleet.New("z")
 	v := &view{fleet: f, limitBook: testBook(), targetBook: testBook(), log: log, oldWeights: 18 * time.Second}
-	v.holder = rollout.NewHolder("n", rollout.Surroundings{Fleet: f}, log)
+	v.holder = rollout.NewController("n", rollout.Config{Fleet: f}, log)
 	return v, f
 }
 
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Weights say how prefix reuse weighs against waiting.
-type Weights struct {
+// CostWeights say how prefix reuse weighs against waiting.
+type CostWeights struct {
 	Miss float64
 	Wait float64
 }
@@ -15,7 +15,7 @@
 
 // pressure returns, from 0 to 1, how likely the blocks that new ones displace
 // at a runner would have been used again.
-func pressure(a Answer) float64 {
+func pressure(a Estimate) float64 {
 	if a.LifetimeSeconds == 0 {
 		return 0
 	}
@@ -26,10 +26,10 @@
 // a second.
 const assumedRate = 20000
 
-// FillRates gives the answers of runners that have not measured their prefill
+// FillPrefillRates gives the answers of runners that have not measured their prefill
 // rate the mean of the others: taken for slow, a new runner would get no work
 // and never be measured.
-func FillRates(answers []Answer) {
+func FillPrefillRates(answers []Estimate) {
 	sum, n := 0.0, 0
 	for _, a := range answers {
 		if a.PrefillRate > 0 {
@@ -48,8 +48,8 @@
 	}
 }
 
-// FirstToken returns the expected seconds to the first token, unweighted.
-func FirstToken(a Answer, promptTokens int) float64 {
+// TimeToFirstToken returns the expected seconds to the first token, unweighted.
+func TimeToFirstToken(a Estimate, promptTokens int) float64 {
 	missing := float64(max(0, promptTokens-a.CachedTokens))
 	return missing/max(a.PrefillRate, 1) + a.WaitSeconds
 }
@@ -57,8 +57,8 @@
 // Cost returns the expected seconds to the first token at a runner, weighted.
 // Missing tokens cost the caller's wait, the runner's time that someone else
 // could have had, and the blocks that they displace from its cache.
-func Cost(a Answer, promptTokens int, w Weights) float64 {
+func Cost(a Estimate, promptTokens int, w CostWeights) float64 {
 	missing := float64(max(0, promptTokens-a.CachedTokens))
 	prefill := missing / max(a.PrefillRate, 1)
-	return (w.Miss+pressure(a))*prefill + w.Wait*a.WaitSeconds + a.PenaltySeconds + a.LinkSeconds
+	return (w.Miss+pressure(a))*prefill + w.Wait*a.WaitSeconds + a.PenaltySeconds + a.NetworkSeconds
 }
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -3,9 +3,9 @@
 // Filter reports whether a runner may be asked.
 type Filter func(r *Runner) bool
 
-// Staying leaves out runners that take no new work.
-func Staying(r *Runner) bool {
-	return !r.Leaving
+// NotDraining leaves out runners that take no new work.
+func NotDraining(r *Runner) bool {
+	return !r.Draining
 }
 
 // InRegion keeps the runners of one region; an empty region keeps all.
--- a/placement/order.go
+++ b/placement/order.go
@@ -12,19 +12,19 @@
 	index int32
 }
 
-// Orderer ranks runners. It keeps scratch space, so each goroutine has its own.
-type Orderer struct {
+// Ranker ranks runners. It keeps scratch space, so each goroutine has its own.
+type Ranker struct {
 	pool []ranked
 }
 
-// Order returns the first m of the runners at indices, best first. The
+// Rank returns the first m of the runners at indices, best first. The
 // outermost level's hash ranks all runners and its width cuts a subset; the
 // next level ranks inside that subset, and so on. So prompts that share a
 // level share its runners, and a prompt spills first to runners that hold its
 // outer levels: the rest of the innermost subset, then the rest of the one
 // around it. Widths are in runners, outermost first; the innermost level
 // needs none. The result is valid until the next call.
-func (o *Orderer) Order(runners []Runner, indices []int32, levels []prefix.Boundary, widths []int, m int) []int32 {
+func (o *Ranker) Rank(runners []Runner, indices []int32, levels []prefix.Boundary, widths []int, m int) []int32 {
 	o.pool = o.pool[:0]
 	keep := m
 	if len(levels) > 1 {
@@ -66,7 +66,7 @@
 }
 
 // insert keeps the best scores in order, at most keep of them.
-func (o *Orderer) insert(r ranked, keep int) {
+func (o *Ranker) insert(r ranked, keep int) {
 	if n := len(o.pool); n == keep {
 		o.pool = o.pool[:n-1]
 	}
@@ -80,7 +80,7 @@
 }
 
 // rank orders the first n of the pool by another level's hash.
-func (o *Orderer) rank(runners []Runner, n int, hash uint64) {
+func (o *Ranker) rank(runners []Runner, n int, hash uint64) {
 	subset := o.pool[:n]
 	for i := range subset {
 		subset[i].score = prefix.Score(runners[subset[i].index].hash, hash)
--- a/placement/pick.go
+++ b/placement/pick.go
@@ -6,7 +6,7 @@
 
 // Pick returns the index of the cheapest answer that is ready, or -1. Answers
 // are in the order of rendezvous, and earlier ones win ties.
-func Pick(answers []Answer, promptTokens int, w Weights) int {
+func Pick(answers []Estimate, promptTokens int, w CostWeights) int {
 	best := -1
 	bestCost := 0.0
 	for i, a := range answers {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -42,10 +42,10 @@
 		outer := rapid.Uint64().Draw(t, "outer")
 		a := rapid.Uint64().Draw(t, "inner a")
 		b := rapid.Uint64().Draw(t, "inner b")
-		var one, other Orderer
+		var one, other Ranker
 		rs := runners(n)
-		first := one.Order(rs, all(n), levels(outer, a), []int{width}, n)
-		second := other.Order(rs, all(n), levels(outer, b), []int{width}, n)
+		first := one.Rank(rs, all(n), levels(outer, a), []int{width}, n)
+		second := other.Rank(rs, all(n), levels(outer, b), []int{width}, n)
 		if !sameSet(first[:width], second[:width]) {
 			t.Fatalf("subsets differ: %v and %v", first[:width], second[:width])
 		}
@@ -61,9 +61,9 @@
 // A runner that leaves must move only the prefixes that it held.
 func TestOrderMovesLittle(t *testing.T) {
 	rs := runners(18)
-	var o Orderer
+	var o Ranker
 	for hash := uint64(1); hash <= 200; hash++ {
-		before := o.Order(rs, all(18), levels(hash), nil, 18)
+		before := o.Rank(rs, all(18), levels(hash), nil, 18)
 		gone := before[5]
 		var staying []int32
 		for _, i := range all(18) {
@@ -71,7 +71,7 @@
 				staying = append(staying, i)
 			}
 		}
-		after := o.Order(rs, staying, levels(hash), nil, 18)
+		after := o.Rank(rs, staying, levels(hash), nil, 18)
 		want := append(append([]int32{}, before[:5]...), before[6:]...)
 		if fmt.Sprint(after) != fmt.Sprint(want) {
 			t.Fatalf("order changed beyond the runner that left: %v, want %v", after, want)
@@ -96,24 +96,24 @@
 }
 
 func TestPick(t *testing.T) {
-	weights := Weights{Miss: 3, Wait: 1}
-	ready := func(cached int, wait float64) Answer {
-		return Answer{Ready: true, CachedTokens: cached, WaitSeconds: wait, PrefillRate: 40000}
+	weights := CostWeights{Miss: 3, Wait: 1}
+	ready := func(cached int, wait float64) Estimate {
+		return Estimate{Ready: true, CachedTokens: cached, WaitSeconds: wait, PrefillRate: 40000}
 	}
 	for _, test := range []struct {
 		name    string
-		answers []Answer
+		answers []Estimate
 		want    int
 	}{
-		{"nobody is ready", []Answer{{}, {}}, -1},
-		{"the prefix wins over an idle runner", []Answer{ready(0, 0), ready(8000, 0.1)}, 1},
-		{"a long queue loses to recomputing", []Answer{ready(8000, 2), ready(0, 0)}, 1},
-		{"noise leaves the first in order", []Answer{ready(8000, 0.0015), ready(8000, 0)}, 0},
-		{"a suspect runner is left for later", []Answer{{Ready: true, CachedTokens: 8000, PrefillRate: 40000, PenaltySeconds: 0.5}, ready(8000, 0.1)}, 1},
-		{"a pressed cache gives way to an idle one", []Answer{
+		{"nobody is ready", []Estimate{{}, {}}, -1},
+		{"the prefix wins over an idle runner", []Estimate{ready(0, 0), ready(8000, 0.1)}, 1},
+		{"a long queue loses to recomputing", []Estimate{ready(8000, 2), ready(0, 0)}, 1},
+		{"noise leaves the first in order", []Estimate{ready(8000, 0.0015), ready(8000, 0)}, 0},
+		{"a suspect runner is left for later", []Estimate{{Ready: true, CachedTokens: 8000, PrefillRate: 40000, PenaltySeconds: 0.5}, ready(8000, 0.1)}, 1},
+		{"a pressed cache gives way to an idle one", []Estimate{
 			{Ready: true, PrefillRate: 40000, LifetimeSeconds: 1}, ready(0, 0.01)}, 1},
-		{"the other data centre is used when it is quicker", []Answer{
-			ready(8000, 0.05), {Ready: true, CachedTokens: 8000, PrefillRate: 40000, LinkSeconds: 0.001}}, 1},
+		{"the other data centre is used when it is quicker", []Estimate{
+			ready(8000, 0.05), {Ready: true, CachedTokens: 8000, PrefillRate: 40000, NetworkSeconds: 0.001}}, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := Pick(test.answers, 8000, weights); got != test.want {
@@ -125,9 +125,9 @@
 
 func TestFilters(t *testing.T) {
 	rs := runners(4)
-	rs[1].Leaving = true
+	rs[1].Draining = true
 	rs[2].Region = "elsewhere"
-	got := Apply(rs, nil, Staying, InRegion("region"), Except([]string{"runner-3"}))
+	got := Apply(rs, nil, NotDraining, InRegion("region"), Except([]string{"runner-3"}))
 	if fmt.Sprint(got) != "[0]" {
 		t.Errorf("passed %v, want [0]", got)
 	}
@@ -136,21 +136,21 @@
 // The mean stands in for a runner that was never measured; taken for slow it
 // would stay without work for ever.
 func TestFillRates(t *testing.T) {
-	answers := []Answer{{PrefillRate: 30000}, {}, {PrefillRate: 50000}}
-	FillRates(answers)
+	answers := []Estimate{{PrefillRate: 30000}, {}, {PrefillRate: 50000}}
+	FillPrefillRates(answers)
 	if answers[1].PrefillRate != 40000 {
 		t.Errorf("rate %v, want 40000", answers[1].PrefillRate)
 	}
-	none := []Answer{{}}
-	FillRates(none)
+	none := []Estimate{{}}
+	FillPrefillRates(none)
 	if none[0].PrefillRate != assumedRate {
 		t.Errorf("rate %v, want %v", none[0].PrefillRate, assumedRate)
 	}
 }
 
 func TestCallOrderIgnoresInputOrder(t *testing.T) {
-	a := CallOrder([]string{"x", "y", "z"}, "key")
-	b := CallOrder([]string{"z", "y", "x"}, "key")
+	a := RankTargets([]string{"x", "y", "z"}, "key")
+	b := RankTargets([]string{"z", "y", "x"}, "key")
 	if fmt.Sprint(a) != fmt.Sprint(b) {
 		t.Errorf("%v and %v differ", a, b)
 	}
@@ -160,9 +160,9 @@
 func BenchmarkOrder(b *testing.B) {
 	const n = 2100
 	rs, indices := runners(n), all(n)
-	var o Orderer
+	var o Ranker
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		o.Order(rs, indices, levels(uint64(i), uint64(i)+1), []int{3}, 12)
+		o.Rank(rs, indices, levels(uint64(i), uint64(i)+1), []int{3}, 12)
 	}
 }
--- a/placement/runner.go
+++ b/placement/runner.go
@@ -14,7 +14,7 @@
 	Name       string
 	DataCentre string
 	Region     string
-	Leaving    bool
+	Draining   bool
 	hash       uint64
 }
 
@@ -24,13 +24,13 @@
 		Name:       name,
 		DataCentre: dataCentre,
 		Region:     region,
-		Leaving:    leaving,
+		Draining:   leaving,
 		hash:       prefix.NameHash(name),
 	}
 }
 
-// Answer is what a runner's agent said about one prompt.
-type Answer struct {
+// Estimate is what a runner's agent said about one prompt.
+type Estimate struct {
 	Ready bool
 	// CachedTokens of the prompt need no prefill.
 	CachedTokens int
@@ -43,6 +43,6 @@
 	LifetimeSeconds float64
 	// PenaltySeconds is the entry's own doubt about the runner.
 	PenaltySeconds float64
-	// LinkSeconds is the time of a message there and back.
-	LinkSeconds float64
+	// NetworkSeconds is the time of a message there and back.
+	NetworkSeconds float64
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -19,57 +19,57 @@
 	Learning Mechanism = "learning"
 	// Packing: long runs fill few runners.
 	Packing Mechanism = "packing"
-	// Apart: runners are kept for requests that take little to read.
-	Apart Mechanism = "apart"
-	// Fetching: runners are chosen with what they can fetch; without it only what
+	// ReserveForLight: runners are kept for requests that take little to read.
+	ReserveForLight Mechanism = "apart"
+	// CacheFetching: runners are chosen with what they can fetch; without it only what
 	// they hold themselves counts, and a source is named on the chance.
-	Fetching Mechanism = "fetching"
-	// Memory: a target whose memory is full makes requests wait.
-	Memory Mechanism = "memory"
-	// Saving: shared parts are sent to stores of kept cache.
-	Saving Mechanism = "saving"
-	// FarLinks: the time of a store's link that a transfer across zones takes counts.
-	FarLinks Mechanism = "far-links"
-	// FewCompared: fewer runners are compared where much is decided unseen.
-	FewCompared Mechanism = "few-compared"
-	// Refusing: requests are refused for their wait.
-	Refusing Mechanism = "refusing"
-	// LightWaits: what takes little to read may wait longer.
-	LightWaits Mechanism = "light-waits"
-	// Cutting: long runs that go on elsewhere are cut off by orders.
-	Cutting Mechanism = "cutting"
-	// Telling: entries tell each other their load.
-	Telling Mechanism = "telling"
+	CacheFetching Mechanism = "fetching"
+	// MemoryBackpressure: a target whose memory is full makes requests wait.
+	MemoryBackpressure Mechanism = "memory"
+	// CacheSaving: shared parts are sent to stores of kept cache.
+	CacheSaving Mechanism = "saving"
+	// CrossDataCentreLinks: the time of a store's link that a transfer across zones takes counts.
+	CrossDataCentreLinks Mechanism = "far-links"
+	// CandidateSampling: fewer runners are compared where much is decided unseen.
+	CandidateSampling Mechanism = "few-compared"
+	// WaitRefusal: requests are refused for their wait.
+	WaitRefusal Mechanism = "refusing"
+	// LightWaitAllowance: what takes little to read may wait longer.
+	LightWaitAllowance Mechanism = "light-waits"
+	// Truncation: long runs that go on elsewhere are cut off by orders.
+	Truncation Mechanism = "cutting"
+	// LoadSharing: entries tell each other their load.
+	LoadSharing Mechanism = "telling"
 	// SharedWatch: the members of a group live on one watch of the platform's store;
 	// without it each watches itself.
 	SharedWatch Mechanism = "shared-watch"
-	// Suspecting: contents under which targets end are suspected, and refused after
+	// PoisonDetection: contents under which targets end are suspected, and refused after
 	// some; Alone: suspects go to the target at which the fewest others run.
-	Suspecting Mechanism = "suspecting"
-	Alone      Mechanism = "alone"
-	// Limits: requests of customers over their limits are refused. CommonUse: what the
+	PoisonDetection  Mechanism = "suspecting"
+	SuspectIsolation Mechanism = "alone"
+	// CustomerLimits: requests of customers over their limits are refused. CommonUse: what the
 	// entries tell each other that they let in counts against a limit; without it each
 	// keeps to its own share. Pacing: where much is let in unheard, each entry goes by
 	// its share as well. DemandShares: shares follow demand; without it they are equal.
-	Limits       Mechanism = "limits"
-	CommonUse    Mechanism = "common-use"
-	Pacing       Mechanism = "pacing"
-	DemandShares Mechanism = "demand-shares"
+	CustomerLimits Mechanism = "limits"
+	SharedUsage    Mechanism = "common-use"
+	Pacing         Mechanism = "pacing"
+	DemandShares   Mechanism = "demand-shares"
 	// TargetLimits: the limits that targets name are kept to.
 	TargetLimits Mechanism = "target-limits"
 )
 
 // All returns every mechanism.
 func All() []Mechanism {
-	return []Mechanism{Learning, Packing, Apart, Fetching, Memory, Saving, FarLinks, FewCompared, Refusing, LightWaits, Cutting, Telling, SharedWatch, Suspecting, Alone, Limits, CommonUse, Pacing, DemandShares, TargetLimits}
+	return []Mechanism{Learning, Packing, ReserveForLight, CacheFetching, MemoryBackpressure, CacheSaving, CrossDataCentreLinks, CandidateSampling, WaitRefusal, LightWaitAllowance, Truncation, LoadSharing, SharedWatch, PoisonDetection, SuspectIsolation, CustomerLimits, SharedUsage, Pacing, DemandShares, TargetLimits}
 }
 
-// Off is the mechanisms that are switched off; nil is none.
-type Off map[Mechanism]bool
+// Disabled is the mechanisms that are switched off; nil is none.
+type Disabled map[Mechanism]bool
 
 // Parse reads the names of the mechanisms to switch off.
-func Parse(names []string) (Off, error) {
-	off := Off{}
+func Parse(names []string) (Disabled, error) {
+	off := Disabled{}
 	for _, name := range names {
 		if !slices.Contains(All(), Mechanism(name)) {
 			return nil, fmt.Errorf("no mechanism is called %q; write one of %s", name, strings.Join(known(), ", "))
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -9,7 +9,7 @@
 // mechanism is off.
 func TestUnknownMechanismsAreRefused(t *testing.T) {
 	off, err := Parse([]string{"apart", "saving"})
-	if err != nil || !off[Apart] || !off[Saving] || off[Packing] {
+	if err != nil || !off[ReserveForLight] || !off[CacheSaving] || off[Packing] {
 		t.Errorf("switched off %v, %v", off, err)
 	}
 	if _, err = Parse([]string{"apart", "packs"}); err == nil || !strings.Contains(err.Error(), `"packs"`) || !strings.Contains(err.Error(), "packing") {
--- a/quota/account.go
+++ b/quota/account.go
@@ -118,7 +118,7 @@
 	a.demand *= fading(now.Sub(a.slicedAt))
 	a.slicedAt = now
 	grows := a.limit.Rate * part * b.share(a, now)
-	if b.off[policy.CommonUse] {
+	if b.off[policy.SharedUsage] {
 		a.slice = min(grows*a.limit.Burst/a.limit.Rate, a.slice+grows*passed)
 	} else {
 		pace := a.pace(b.held(a))
@@ -208,7 +208,7 @@
 func (b *Book) room(a *account, cost float64, now time.Time) room {
 	part := b.part(now)
 	grows := a.limit.Rate * part
-	if b.off[policy.CommonUse] {
+	if b.off[policy.SharedUsage] {
 		grows *= b.share(a, now)
 		return room{open: a.slice > 0, lacks: -a.slice, grows: grows}
 	}
--- a/quota/book.go
+++ b/quota/book.go
@@ -12,7 +12,7 @@
 // Book holds the customers' accounts at one process. It is safe for concurrent use.
 type Book struct {
 	bounds Bounds
-	off    policy.Off
+	off    policy.Disabled
 	// leased reports whether the others count on this process being there.
 	leased func() bool
 	start  time.Time
@@ -41,7 +41,7 @@
 
 // NewBook returns the book of a process that starts now. leased reports whether the
 // other processes still count this one in.
-func NewBook(b Bounds, off policy.Off, leased func() bool, now time.Time) *Book {
+func NewBook(b Bounds, off policy.Disabled, leased func() bool, now time.Time) *Book {
 	return &Book{
 		bounds: b, off: off, leased: leased, start: now, members: 1,
 		accounts: map[uint64]*account{}, names: map[string]uint64{}, peers: map[string]*sender{}, far: map[int]*sender{}, toldFar: map[int]time.Time{},
@@ -123,7 +123,7 @@
 
 // Begin lets one request of a customer in, or returns false and when to come back.
 func (b *Book) Begin(customer string, size Size, now time.Time) (charge *Charge, wait time.Duration, ok bool) {
-	if b.off[policy.Limits] {
+	if b.off[policy.CustomerLimits] {
 		return nil, 0, true
 	}
 	b.mu.Lock()
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -18,7 +18,7 @@
 // each other by datagrams that are late or lost, and learn by a store who is there.
 type deployment struct {
 	bounds Bounds
-	off    policy.Off
+	off    policy.Disabled
 	limit  Limit
 	rand   *rand.Rand
 	now    time.Duration
@@ -75,7 +75,7 @@
 
 func (d *deployment) clock() time.Time { return modelStart.Add(d.now) }
 
-func newDeployment(n int, l Limit, off policy.Off, seed uint64) *deployment {
+func newDeployment(n int, l Limit, off policy.Disabled, seed uint64) *deployment {
 	d := &deployment{
 		bounds: Bounds{Window: 8 * time.Second, Overrun: 0.1, Slack: 72_000}, off: off, limit: l,
 		mail: map[time.Duration][]letter{}, rand: rand.New(rand.NewPCG(seed, 7)), pulse: max(50, time.Duration(5*min(n, 25))) * time.Millisecond, late: 15 * time.Millisecond, exact: l.Burst,
@@ -278,11 +278,11 @@
 // The ways that are compared, by what is switched off.
 var ways = []struct {
 	name string
-	off  policy.Off
+	off  policy.Disabled
 }{
-	{"equal", policy.Off{policy.CommonUse: true, policy.DemandShares: true}},
-	{"demand", policy.Off{policy.CommonUse: true}},
-	{"common", policy.Off{policy.Pacing: true}},
+	{"equal", policy.Disabled{policy.SharedUsage: true, policy.DemandShares: true}},
+	{"demand", policy.Disabled{policy.SharedUsage: true}},
+	{"common", policy.Disabled{policy.Pacing: true}},
 	{"paced", nil},
 }
 
--- a/quota/targets_test.go
+++ b/quota/targets_test.go
@@ -15,7 +15,7 @@
 
 // newTargetDeployment plays the requests to one target that takes rate a second from
 // all processes together.
-func newTargetDeployment(n int, rate float64, off policy.Off, seed uint64) *deployment {
+func newTargetDeployment(n int, rate float64, off policy.Disabled, seed uint64) *deployment {
 	d := newDeployment(0, Limit{Rate: rate * targetUnits, Burst: max(rate/4, 1) * targetUnits, Unit: Tokens}, off, seed)
 	d.bounds = Bounds{Window: 4 * time.Second, Overrun: 0.5, Slack: 5 * targetUnits}
 	d.pulse = max(50, time.Duration(5*min(n, 25))) * time.Millisecond
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -26,12 +26,12 @@
 	UnknownService    Kind = "unknown_service"
 	NotFound          Kind = "not_found"
 	Conflict          Kind = "conflict"
-	Invalid           Kind = "invalid_resource"
+	InvalidResource   Kind = "invalid_resource"
 	ContractExceeded  Kind = "contract_exceeded"
 	QueueFull         Kind = "queue_full"
 	DeadlineUnmet     Kind = "deadline_unmet"
 	Stopping          Kind = "stopping"
-	NotReady          Kind = "target_not_ready"
+	TargetNotReady    Kind = "target_not_ready"
 	NoTarget          Kind = "no_target"
 	TargetFailed      Kind = "target_failed"
 	OutcomeUnknown    Kind = "outcome_unknown"
@@ -42,21 +42,21 @@
 	AttemptAbandoned  Kind = "attempt_abandoned"
 	ResumeUnavailable Kind = "resume_unavailable"
 	HeldElsewhere     Kind = "held_elsewhere"
-	Restarted         Kind = "agent_restarted"
-	NotHome           Kind = "not_home"
+	AgentRestarted    Kind = "agent_restarted"
+	NotOwner          Kind = "not_home"
 	TimedOut          Kind = "timed_out"
 	Interrupted       Kind = "interrupted"
-	// EndsTargets: targets ended under earlier requests with the same content;
+	// CrashesTargets: targets ended under earlier requests with the same content;
 	// SuspectUnderWay: one did, and another request with that content is being tried.
-	EndsTargets     Kind = "ends_targets"
-	SuspectUnderWay Kind = "suspect_under_way"
+	CrashesTargets    Kind = "ends_targets"
+	SuspectInProgress Kind = "suspect_under_way"
 	// WeightsReplaced: it waited at its target until the time of the weights there
 	// ended, and was taken back.
 	WeightsReplaced Kind = "weights_replaced"
 	// TargetsLimited: the targets that could take it get as much as they say they take.
 	// TargetsResting: these asked to be left alone for a while.
-	TargetsLimited Kind = "targets_limited"
-	TargetsResting Kind = "targets_resting"
+	TargetsLimited    Kind = "targets_limited"
+	TargetsBackingOff Kind = "targets_resting"
 )
 
 // Outcome says whether the refused request ran.
@@ -104,8 +104,8 @@
 	}
 }
 
-// After returns a copy of e that names when to come back.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e that names when to come back.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
@@ -137,12 +137,12 @@
 	UnknownService:    http.StatusNotFound,
 	NotFound:          http.StatusNotFound,
 	Conflict:          http.StatusConflict,
-	Invalid:           http.StatusUnprocessableEntity,
+	InvalidResource:   http.StatusUnprocessableEntity,
 	ContractExceeded:  http.StatusTooManyRequests,
 	QueueFull:         http.StatusTooManyRequests,
 	DeadlineUnmet:     http.StatusTooManyRequests,
 	Stopping:          http.StatusServiceUnavailable,
-	NotReady:          http.StatusServiceUnavailable,
+	TargetNotReady:    http.StatusServiceUnavailable,
 	NoTarget:          http.StatusServiceUnavailable,
 	TargetFailed:      http.StatusBadGateway,
 	OutcomeUnknown:    http.StatusBadGateway,
@@ -153,15 +153,15 @@
 	AttemptAbandoned:  http.StatusConflict,
 	ResumeUnavailable: http.StatusGone,
 	HeldElsewhere:     http.StatusServiceUnavailable,
-	Restarted:         http.StatusServiceUnavailable,
-	NotHome:           http.StatusServiceUnavailable,
+	AgentRestarted:    http.StatusServiceUnavailable,
+	NotOwner:          http.StatusServiceUnavailable,
 	TimedOut:          http.StatusGatewayTimeout,
 	Interrupted:       http.StatusBadGateway,
-	EndsTargets:       http.StatusServiceUnavailable,
-	SuspectUnderWay:   http.StatusServiceUnavailable,
+	CrashesTargets:    http.StatusServiceUnavailable,
+	SuspectInProgress: http.StatusServiceUnavailable,
 	WeightsReplaced:   http.StatusBadGateway,
 	TargetsLimited:    http.StatusTooManyRequests,
-	TargetsResting:    http.StatusServiceUnavailable,
+	TargetsBackingOff: http.StatusServiceUnavailable,
 }
 
 // Status returns the HTTP status of e.
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -15,21 +15,21 @@
 
 // The reasons for a retry.
 const (
-	Unreachable Reason = "unreachable"
-	TargetAway  Reason = "target_away"
-	Interrupted Reason = "interrupted"
-	Continued   Reason = "continued"
-	Resumed     Reason = "resumed"
-	Replaced    Reason = "replaced"
+	Unreachable       Reason = "unreachable"
+	TargetUnavailable Reason = "target_away"
+	Interrupted       Reason = "interrupted"
+	Continued         Reason = "continued"
+	Resumed           Reason = "resumed"
+	WeightsReplaced   Reason = "replaced"
 )
 
 // Reasons returns every reason.
 func Reasons() []Reason {
-	return []Reason{Unreachable, TargetAway, Interrupted, Continued, Resumed, Replaced}
+	return []Reason{Unreachable, TargetUnavailable, Interrupted, Continued, Resumed, WeightsReplaced}
 }
 
-// MaxSends is the most sends of one request, the first included.
-const MaxSends = 4
+// MaxAttempts is the most sends of one request, the first included.
+const MaxAttempts = 4
 
 // Budget allows retries as a share of recent requests. It is not safe for
 // concurrent use.
@@ -51,10 +51,10 @@
 	return &Budget{ratio: ratio, floor: floor, most: maxBalance, balance: maxBalance / 2, last: now}
 }
 
-// SetExtra says how many retries a second are allowed beside the ratio, and how
+// SetRateAndBurst says how many retries a second are allowed beside the ratio, and how
 // many a quiet time saves up. Where many processes share a bound, what each
 // saves up adds to what all send at once.
-func (b *Budget) SetExtra(floor, most float64, now time.Time) {
+func (b *Budget) SetRateAndBurst(floor, most float64, now time.Time) {
 	b.refill(now)
 	b.floor = floor
 	b.most = most
@@ -70,8 +70,8 @@
 	b.balance = min(b.balance+retries, b.most)
 }
 
-// Request counts one request in.
-func (b *Budget) Request(now time.Time) {
+// RecordRequest counts one request in.
+func (b *Budget) RecordRequest(now time.Time) {
 	b.refill(now)
 	b.add(b.ratio)
 }
@@ -88,11 +88,11 @@
 
 // Allowed reports whether a request that ended with r may be sent again.
 func Allowed(r *refusal.Error, idempotent bool, sends int) bool {
-	if sends >= MaxSends {
+	if sends >= MaxAttempts {
 		return false
 	}
 	switch r.Kind {
-	case refusal.Stopping, refusal.NotReady, refusal.NoTarget, refusal.TargetFailed, refusal.ResumeUnavailable:
+	case refusal.Stopping, refusal.TargetNotReady, refusal.NoTarget, refusal.TargetFailed, refusal.ResumeUnavailable:
 		return r.Outcome == refusal.NotRun || idempotent
 	}
 	// A full queue is final: it was the cheapest of all that were asked.
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -15,7 +15,7 @@
 	b := NewBudget(0.1, 0, start)
 	retries := 0
 	for range 1000 {
-		b.Request(start)
+		b.RecordRequest(start)
 		for b.Take(start) {
 			retries++
 		}
@@ -39,7 +39,7 @@
 		{"may have run", &ran, false, 1, false},
 		{"may have run, but is idempotent", &ran, true, 1, true},
 		{"did not run", &notRun, false, 1, true},
-		{"too many sends", &notRun, true, MaxSends, false},
+		{"too many sends", &notRun, true, MaxAttempts, false},
 		{"a final refusal", refusal.New(refusal.DeadlineUnmet, "", ""), true, 1, false},
 		{"a full queue", refusal.New(refusal.QueueFull, "", ""), true, 1, false},
 		{"key in use elsewhere", refusal.NewUnknown(""), false, 1, false},
@@ -64,10 +64,10 @@
 	sent := 0
 	for range processes {
 		b := NewBudget(0.16, 0, now)
-		b.SetExtra(extra/4/window.Seconds()/processes, max(1, extra/4/processes), now.Add(time.Minute))
+		b.SetRateAndBurst(extra/4/window.Seconds()/processes, max(1, extra/4/processes), now.Add(time.Minute))
 		for i := range each {
 			at := now.Add(time.Minute + time.Duration(i)*window/each)
-			b.Request(at)
+			b.RecordRequest(at)
 			for b.Take(at) {
 				sent++
 			}
--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -15,45 +15,45 @@
 	"acaciakeel/policy"
 )
 
-// Orderer reaches runners.
-type Orderer interface {
+// RunnerClient reaches runners.
+type RunnerClient interface {
 	// Report asks a runner for its state.
 	Report(ctx context.Context, of fleet.Runner) (fleet.Report, error)
 	// Order gives an order.
 	Order(ctx context.Context, o fleet.Order) (fleet.OrderResult, error)
 }
 
-// Office says whether this process may give orders now, and under which fence.
-type Office interface {
+// Leadership says whether this process may give orders now, and under which fence.
+type Leadership interface {
 	Held() (fence int64, ok bool)
-	// Left returns for how long the right lasts at least.
-	Left() time.Duration
+	// Remaining returns for how long the right lasts at least.
+	Remaining() time.Duration
 }
 
-// Services returns which services run a model.
-type Services func() map[string][]string
+// ServicesByModel returns which services run a model.
+type ServicesByModel func() map[string][]string
 
-// Surroundings are what a holder gives its orders with.
-type Surroundings struct {
-	Office   Office
-	Orderer  Orderer
-	Fleet    *fleet.Fleet
-	Services Services
-	// Told is called when there is news of a runner that the others should have
+// Config are what a holder gives its orders with.
+type Config struct {
+	Leadership Leadership
+	Client     RunnerClient
+	Fleet      *fleet.Fleet
+	Services   ServicesByModel
+	// Notify is called when there is news of a runner that the others should have
 	// at once: until then they send to one that refuses.
-	Told    func()
+	Notify  func()
 	Metrics *Metrics
-	// Bound is for how long after newer weights were named a runner gets requests.
-	Bound time.Duration
+	// MaxStaleness is for how long after newer weights were named a runner gets requests.
+	MaxStaleness time.Duration
 }
 
-// Holder gives the orders while it holds the office.
-type Holder struct {
+// Controller gives the orders while it holds the office.
+type Controller struct {
 	name     string
-	office   Office
-	orderer  Orderer
+	office   Leadership
+	orderer  RunnerClient
 	fleet    *fleet.Fleet
-	services Services
+	services ServicesByModel
 	log      logrus.FieldLogger
 	wake     chan struct{}
 	told     func()
@@ -79,22 +79,22 @@
 	since time.Time
 }
 
-// NewHolder returns a holder named name, which is the machine's.
-func NewHolder(name string, s Surroundings, log logrus.FieldLogger) *Holder {
-	return &Holder{
-		name: name, office: s.Office, orderer: s.Orderer, fleet: s.Fleet, services: s.Services, told: s.Told, bound: s.Bound, log: log,
+// NewController returns a holder named name, which is the machine's.
+func NewController(name string, s Config, log logrus.FieldLogger) *Controller {
+	return &Controller{
+		name: name, office: s.Leadership, orderer: s.Client, fleet: s.Fleet, services: s.Services, told: s.Notify, bound: s.MaxStaleness, log: log,
 		wake: make(chan struct{}, 1), waiting: newWaiting(s.Metrics, log), underway: map[string]underway{},
 	}
 }
 
-// Blind has runners end their streams before they load: the others no longer tell
+// DisableTruncation has runners end their streams before they load: the others no longer tell
 // which streams they have there, and those that can't go on elsewhere would be cut.
-func (h *Holder) Blind() {
+func (h *Controller) DisableTruncation() {
 	h.blind.Store(true)
 }
 
 // Wake makes the holder look at once.
-func (h *Holder) Wake() {
+func (h *Controller) Wake() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
@@ -106,7 +106,7 @@
 const lookEvery = 300 * time.Millisecond
 
 // Run gives orders until ctx ends.
-func (h *Holder) Run(ctx context.Context) {
+func (h *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(lookEvery)
 	defer ticker.Stop()
 	for {
@@ -124,7 +124,7 @@
 	}
 }
 
-func (h *Holder) look(ctx context.Context) {
+func (h *Controller) look(ctx context.Context) {
 	services := h.services()
 	h.waiting.begin()
 	for model, desired := range h.fleet.Named() {
@@ -144,7 +144,7 @@
 	h.waiting.end()
 }
 
-func (h *Holder) input(model string, desired int64, runners []fleet.Runner) Input {
+func (h *Controller) input(model string, desired int64, runners []fleet.Runner) Input {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	in := Input{
@@ -175,7 +175,7 @@
 	return in
 }
 
-func (h *Holder) begin(ctx context.Context, t Turn, model string, desired int64) {
+func (h *Controller) begin(ctx context.Context, t Turn, model string, desired int64) {
 	r := t.Runner
 	h.mu.Lock()
 	h.underway[r.ID] = underway{life: r.Life(), since: time.Now()}
@@ -205,7 +205,7 @@
 
 // bring brings one runner to the desired weights, or gives up so that the next
 // look decides anew.
-func (h *Holder) bring(ctx context.Context, t Turn, model string, desired int64) {
+func (h *Controller) bring(ctx context.Context, t Turn, model string, desired int64) {
 	r, began := t.Runner, time.Now()
 	truncate := h.clear(ctx, t)
 	cleared, left := time.Since(began), h.fleet.Inflight(r.Life())
@@ -279,12 +279,12 @@
 // these may be cut off: each must be one that goes on at another runner, after
 // its last event. Left to end, the last of them keep a runner of forty or sixty
 // slots out of service for four to six seconds.
-func (h *Holder) clear(ctx context.Context, t Turn) bool {
+func (h *Controller) clear(ctx context.Context, t Turn) bool {
 	r, tries := t.Runner, clearTries
 	if t.Short {
 		tries = clearTriesShort
 	}
-	if h.fleet.Inflight(r.Life()).Long == 0 || h.blind.Load() || h.fleet.Off(policy.Cutting) {
+	if h.fleet.Inflight(r.Life()).Long == 0 || h.blind.Load() || h.fleet.Off(policy.Truncation) {
 		return false
 	}
 	for range tries {
@@ -301,8 +301,8 @@
 // give gives an order, within the time of the office: one that is held up on its way, by
 // a slow link or a connection that takes its time, must not arrive beside those of the
 // next holder.
-func (h *Holder) give(ctx context.Context, o fleet.Order) (fleet.OrderResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.office.Left())
+func (h *Controller) give(ctx context.Context, o fleet.Order) (fleet.OrderResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, h.office.Remaining())
 	defer cancel()
 	return h.orderer.Order(ctx, o)
 }
@@ -311,7 +311,7 @@
 // last ten or so tell how long runs last by now.
 const tookStep = 0.1
 
-func (h *Holder) tookOne(d time.Duration) {
+func (h *Controller) tookOne(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.took == 0 {
@@ -322,7 +322,7 @@
 
 // await waits for the end of an order, asking the runner, and reports whether the
 // runner has its weights.
-func (h *Holder) await(ctx context.Context, r fleet.Runner, model string, desired int64) bool {
+func (h *Controller) await(ctx context.Context, r fleet.Runner, model string, desired int64) bool {
 	began := time.Now()
 	h.fleet.Busy(r.Life(), began.Add(busyGuard))
 	h.told()
@@ -352,7 +352,7 @@
 
 // reports reports whether a report is of the life of a runner that was asked for.
 // A later one ends that life, and what it says is taken; a former one says nothing.
-func (h *Holder) reports(r fleet.Runner, report fleet.Report) bool {
+func (h *Controller) reports(r fleet.Runner, report fleet.Report) bool {
 	life := fleet.Life{ID: r.ID, Born: report.Born}
 	if !h.fleet.Hear(life) {
 		return false
@@ -366,6 +366,6 @@
 	return false
 }
 
-func (h *Holder) event(name string, r fleet.Runner, model string, desired int64) *logrus.Entry {
+func (h *Controller) event(name string, r fleet.Runner, model string, desired int64) *logrus.Entry {
 	return h.log.WithFields(logrus.Fields{"event": name, "runner": r.ID, "born": r.Born, "model": model, "weights": desired})
 }
--- a/rollout/holder_test.go
+++ b/rollout/holder_test.go
@@ -34,13 +34,13 @@
 
 type always struct{}
 
-func (always) Held() (int64, bool) { return 1, true }
-func (always) Left() time.Duration { return time.Minute }
+func (always) Held() (int64, bool)      { return 1, true }
+func (always) Remaining() time.Duration { return time.Minute }
 
 // lapsing is an office that ends soon.
 type lapsing struct{ always }
 
-func (lapsing) Left() time.Duration { return 50 * time.Millisecond }
+func (lapsing) Remaining() time.Duration { return 50 * time.Millisecond }
 
 // held is a way on which orders are held up for good.
 type held struct{ orders }
@@ -57,7 +57,7 @@
 	f := fleet.New("z")
 	r := fleet.Runner{ID: "r", Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
 	f.Put(r)
-	h := NewHolder("n", Surroundings{Office: lapsing{}, Orderer: &held{}, Fleet: f, Told: func() {}}, quiet())
+	h := NewController("n", Config{Leadership: lapsing{}, Client: &held{}, Fleet: f, Notify: func() {}}, quiet())
 	// The test ends by its own time-out if the order does not.
 	h.bring(context.Background(), Turn{Runner: r}, "m", 2)
 }
@@ -73,7 +73,7 @@
 		f.Begin(r.Life(), s, time.Now())
 	}
 	o := &orders{}
-	h := NewHolder("n", Surroundings{Office: always{}, Orderer: o, Fleet: f, Told: func() {}}, quiet())
+	h := NewController("n", Config{Leadership: always{}, Client: o, Fleet: f, Notify: func() {}}, quiet())
 	h.bring(context.Background(), Turn{Runner: r}, "m", 2)
 	if len(o.sent) != 1 {
 		t.Fatalf("%d orders", len(o.sent))
--- a/rollout/life_test.go
+++ b/rollout/life_test.go
@@ -49,7 +49,7 @@
 	return 1, true
 }
 
-func (o office) Left() time.Duration { return time.Minute }
+func (o office) Remaining() time.Duration { return time.Minute }
 
 // listed returns a view of one runner in the life that began at 10.
 func listed() (*fleet.Fleet, fleet.Runner) {
@@ -62,8 +62,8 @@
 // modelOfLM says that one service runs the model.
 func modelOfLM() map[string][]string { return map[string][]string{"m": {"lm"}} }
 
-func holder(f *fleet.Fleet, o *lives, held func()) *Holder {
-	return NewHolder("n", Surroundings{Office: office(held), Orderer: o, Fleet: f, Services: modelOfLM, Told: func() {}}, quiet())
+func holder(f *fleet.Fleet, o *lives, held func()) *Controller {
+	return NewController("n", Config{Leadership: office(held), Client: o, Fleet: f, Services: modelOfLM, Notify: func() {}}, quiet())
 }
 
 // A runner reports three orders, starts again, and the news comes before the order
@@ -133,7 +133,7 @@
 		o := &slow{lives: lives{reports: []fleet.Report{reported(10, 3)}, result: result}, meanwhile: func() {
 			f.Put(fleet.Runner{ID: "r", Born: 20, Service: "lm", Address: "r:1", Weights: map[string]int64{"m": 1}})
 		}}
-		NewHolder("n", Surroundings{Office: always{}, Orderer: o, Fleet: f, Told: func() {}}, quiet()).bring(t.Context(), Turn{Runner: r}, "m", 2)
+		NewController("n", Config{Leadership: always{}, Client: o, Fleet: f, Notify: func() {}}, quiet()).bring(t.Context(), Turn{Runner: r}, "m", 2)
 		if now := f.Runners("lm"); len(now) != 1 || now[0].Weights["m"] != 1 {
 			t.Errorf("%s of a former life left %+v", result, now)
 		}
--- a/rollout/office.go
+++ b/rollout/office.go
@@ -13,9 +13,9 @@
 	"acaciakeel/store"
 )
 
-// Seat is the office of giving orders: one key of the platform's store that
+// LeaderLock is the office of giving orders: one key of the platform's store that
 // hangs on its holder's lease. The key's revision is the fence.
-type Seat struct {
+type LeaderLock struct {
 	store   store.Store
 	session *lease.Session
 	key     string
@@ -40,31 +40,31 @@
 	foreignAt clock.Boot
 }
 
-// NewSeat returns the seat at key for the process that name names in this
+// NewLeaderLock returns the seat at key for the process that name names in this
 // start. A process that lost it does not seek it for pause: two that take turns
 // might each have orders on the way while the other gives some.
-func NewSeat(s store.Store, session *lease.Session, key, name string, pause time.Duration, log logrus.FieldLogger) *Seat {
-	return &Seat{store: s, session: session, key: key, name: name, pause: pause, log: log}
+func NewLeaderLock(s store.Store, session *lease.Session, key, name string, pause time.Duration, log logrus.FieldLogger) *LeaderLock {
+	return &LeaderLock{store: s, session: session, key: key, name: name, pause: pause, log: log}
 }
 
 // Held implements Office.
-func (s *Seat) Held() (int64, bool) {
+func (s *LeaderLock) Held() (int64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held := s.fence != 0 && s.under == s.session.ID() && s.session.Valid()
 	return s.fence, held
 }
 
-// Left implements Office.
-func (s *Seat) Left() time.Duration {
+// Remaining implements Office.
+func (s *LeaderLock) Remaining() time.Duration {
 	return s.session.Left()
 }
 
-// Seen notes what the store says of the key at a revision; an empty value is
+// Observe notes what the store says of the key at a revision; an empty value is
 // its absence. What is older than the seat's own taking says nothing of it: a
 // listing may have been read before and arrive after. Nor does the taking of one
 // that was given up since: adopted by its late news, it would have two holders.
-func (s *Seat) Seen(value string, revision int64) {
+func (s *LeaderLock) Observe(value string, revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if revision < s.fence || (value != "" && revision <= s.gone) {
@@ -83,17 +83,17 @@
 }
 
 // lose notes that the seat is held no more; the caller holds mu.
-func (s *Seat) lose() {
+func (s *LeaderLock) lose() {
 	s.gone, s.fence = s.fence, 0
 	s.lost = clock.Now()
 	s.log.WithField("event", "seat_lost").Warn("another process may give the orders now")
 }
 
-// Foreign notes that the store has an entry at the key, of a revision, that no
+// ObserveForeign notes that the store has an entry at the key, of a revision, that no
 // holder wrote. It hangs on no lease, so that waiting for its end nobody would give
 // orders any more. After a pause, in which a holder whose entry it replaced has
 // learnt that or has lost its lease, the seat is taken over it.
-func (s *Seat) Foreign(revision int64) {
+func (s *LeaderLock) ObserveForeign(revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if revision < s.fence || revision == s.foreign {
@@ -106,15 +106,15 @@
 }
 
 // free reports whether the seat may be sought; the caller holds mu.
-func (s *Seat) free() bool {
+func (s *LeaderLock) free() bool {
 	if s.taken && (s.foreign == 0 || s.foreignAt.Since() < s.pause) {
 		return false
 	}
 	return !s.seeking && (s.lost == 0 || s.lost.Since() >= s.pause)
 }
 
-// Seek tries to take the seat if it is free.
-func (s *Seat) Seek(ctx context.Context) bool {
+// TryAcquire tries to take the seat if it is free.
+func (s *LeaderLock) TryAcquire(ctx context.Context) bool {
 	s.mu.Lock()
 	lease := s.session.ID()
 	if lease == "" || !s.free() {
@@ -140,14 +140,14 @@
 }
 
 // adopt notes that the seat is held under a fence; the caller holds mu.
-func (s *Seat) adopt(fence int64) {
+func (s *LeaderLock) adopt(fence int64) {
 	s.taken, s.fence, s.foreign = true, fence, 0
 	s.log.WithFields(logrus.Fields{"event": "seat_taken", "fence": fence}).Info("this process gives the orders now")
 }
 
 // Release gives the seat to whoever seeks it, while this process's lease goes on.
 // One that is being taken just now stays until the lease ends.
-func (s *Seat) Release(ctx context.Context) error {
+func (s *LeaderLock) Release(ctx context.Context) error {
 	s.mu.Lock()
 	fence := s.fence
 	if fence != 0 {
@@ -166,7 +166,7 @@
 }
 
 // take writes the key over the revision given; 0 is none.
-func (s *Seat) take(ctx context.Context, lease store.LeaseID, over int64) (int64, error) {
+func (s *LeaderLock) take(ctx context.Context, lease store.LeaseID, over int64) (int64, error) {
 	fence, err := s.store.Put(ctx, s.key, []byte(s.name), over, lease)
 	if err == nil || errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrUnavailable) {
 		return fence, err
--- a/rollout/office_test.go
+++ b/rollout/office_test.go
@@ -62,7 +62,7 @@
 }
 
 // newSeat returns a seat under a lease that is held.
-func newSeat(t *testing.T, m *memory, name string) (*Seat, *lease.Session) {
+func newSeat(t *testing.T, m *memory, name string) (*LeaderLock, *lease.Session) {
 	t.Helper()
 	session := lease.NewSession(m, time.Minute, time.Second)
 	granted := make(chan struct{})
@@ -70,7 +70,7 @@
 	go session.Run(ctx, func(context.Context, store.LeaseID) { close(granted) })
 	<-granted
 	t.Cleanup(cancel)
-	return NewSeat(m, session, "seat", name, time.Minute, quiet()), session
+	return NewLeaderLock(m, session, "seat", name, time.Minute, quiet()), session
 }
 
 // The seat's write is carried out and its answer lost. Were the process to
@@ -78,7 +78,7 @@
 func TestSeatSettlesALostAnswer(t *testing.T) {
 	m := &memory{loseAnswer: true}
 	seat, _ := newSeat(t, m, "a")
-	if !seat.Seek(t.Context()) {
+	if !seat.TryAcquire(t.Context()) {
 		t.Fatal("the seat was written and not taken")
 	}
 	if fence, ok := seat.Held(); !ok || fence != 1 {
@@ -92,15 +92,15 @@
 func TestSeatStaysLostAfterTheLeaseEnds(t *testing.T) {
 	m := &memory{}
 	seat, session := newSeat(t, m, "a")
-	seat.Seek(t.Context())
+	seat.TryAcquire(t.Context())
 	if err := session.End(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	seat.Seen("", m.revision+1)
+	seat.Observe("", m.revision+1)
 	if _, ok := seat.Held(); ok {
 		t.Error("the seat is held without a lease")
 	}
-	if seat.Seek(t.Context()) {
+	if seat.TryAcquire(t.Context()) {
 		t.Error("a process that ended its lease took the seat again")
 	}
 }
@@ -110,10 +110,10 @@
 func TestSeatIsNotTakenByTurns(t *testing.T) {
 	m := &memory{}
 	seat, _ := newSeat(t, m, "a")
-	seat.Seek(t.Context())
+	seat.TryAcquire(t.Context())
 	m.value = ""
-	seat.Seen("", m.revision+1)
-	if seat.Seek(t.Context()) || m.writes != 1 {
+	seat.Observe("", m.revision+1)
+	if seat.TryAcquire(t.Context()) || m.writes != 1 {
 		t.Errorf("the seat was sought again at once, with %d writes", m.writes)
 	}
 }
@@ -124,8 +124,8 @@
 func TestSeatOutlivesAnOlderListing(t *testing.T) {
 	m := &memory{revision: 10}
 	seat, _ := newSeat(t, m, "a")
-	seat.Seek(t.Context())
-	seat.Seen("", 10)
+	seat.TryAcquire(t.Context())
+	seat.Observe("", 10)
 	if _, ok := seat.Held(); !ok {
 		t.Error("an older listing took the seat away")
 	}
@@ -136,10 +136,10 @@
 func TestSeatIsAdoptedWhenTheWatchTells(t *testing.T) {
 	m := &memory{loseAnswer: true, deaf: true}
 	seat, _ := newSeat(t, m, "a")
-	if seat.Seek(t.Context()) {
+	if seat.TryAcquire(t.Context()) {
 		t.Fatal("took a seat of which nothing was known")
 	}
-	seat.Seen("a", m.revision)
+	seat.Observe("a", m.revision)
 	if fence, ok := seat.Held(); !ok || fence != m.revision {
 		t.Errorf("held %v under fence %d, want %d", ok, fence, m.revision)
 	}
@@ -151,25 +151,25 @@
 func TestSeatIsTakenOverAForeignEntry(t *testing.T) {
 	m := &memory{value: "bytes", revision: 5}
 	seat, _ := newSeat(t, m, "a")
-	seat.Foreign(5)
-	if seat.Seek(t.Context()) || m.writes != 0 {
+	seat.ObserveForeign(5)
+	if seat.TryAcquire(t.Context()) || m.writes != 0 {
 		t.Errorf("sought at once with %d writes, while a holder before may not know yet", m.writes)
 	}
 	seat.pause = 0
-	if !seat.Seek(t.Context()) {
+	if !seat.TryAcquire(t.Context()) {
 		t.Fatal("the seat stays with nobody")
 	}
 	if fence, ok := seat.Held(); !ok || fence != 6 {
 		t.Errorf("held %v under fence %d, want one above the foreign entry's", ok, fence)
 	}
 	m.value, m.revision = "bytes again", 7
-	seat.Foreign(7)
+	seat.ObserveForeign(7)
 	if _, ok := seat.Held(); ok {
 		t.Error("the seat is held though its entry is another's")
 	}
-	seat.Foreign(4)
-	seat.Seen("b", 8)
-	if seat.Seek(t.Context()) {
+	seat.ObserveForeign(4)
+	seat.Observe("b", 8)
+	if seat.TryAcquire(t.Context()) {
 		t.Error("taken from a process that holds it")
 	}
 }
@@ -188,14 +188,14 @@
 func TestSeatIsReleasedBeforeTheLease(t *testing.T) {
 	m := &memory{}
 	seat, _ := newSeat(t, m, "a")
-	seat.Seek(t.Context())
+	seat.TryAcquire(t.Context())
 	if err := seat.Release(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if _, held := seat.Held(); held || m.value != "" {
 		t.Errorf("held %v, and the seat names %q", held, m.value)
 	}
-	seat.Seen("a", m.revision-1)
+	seat.Observe("a", m.revision-1)
 	if _, held := seat.Held(); held {
 		t.Error("late news of the taking brought a released seat back")
 	}
@@ -206,7 +206,7 @@
 func TestReleaseLeavesAnothersSeat(t *testing.T) {
 	m := &memory{}
 	seat, _ := newSeat(t, m, "a")
-	seat.Seek(t.Context())
+	seat.TryAcquire(t.Context())
 	m.value, m.revision = "b", m.revision+1
 	if err := seat.Release(t.Context()); err != nil || m.value != "b" {
 		t.Errorf("%v, and the seat names %q", err, m.value)
--- a/router/budgets.go
+++ b/router/budgets.go
@@ -61,7 +61,7 @@
 	have := b.budget(service, now)
 	have.age(now, b.bounds.Window)
 	have.recent++
-	have.Request(now)
+	have.RecordRequest(now)
 }
 
 // age lets the requests of earlier windows fade.
@@ -79,7 +79,7 @@
 	have.age(now, b.bounds.Window)
 	part := b.bounds.Extra / float64(sharers)
 	saved := max(b.leastSaved(part), part*savedShare) + burstShare*b.bounds.Ratio*have.recent
-	have.SetExtra(part*extraShare/b.bounds.Window.Seconds(), saved, now)
+	have.SetRateAndBurst(part*extraShare/b.bounds.Window.Seconds(), saved, now)
 	return have.Take(now)
 }
 
--- a/router/outcome.go
+++ b/router/outcome.go
@@ -50,18 +50,18 @@
 	switch {
 	case a.Moved && a.Instance != "" && a.Instance != choice.Runner.ID:
 		f.Ended(choice.Runner.Life())
-		kind = refusal.NotReady
+		kind = refusal.TargetNotReady
 	case a.Moved:
 		s.misjudged(choice, a)
-		kind = refusal.NotReady
+		kind = refusal.TargetNotReady
 	case choice.Weights < f.Newest(s.in.Model):
 		f.Busy(choice.Runner.Life(), now.Add(orderPause))
-		kind = refusal.NotReady
+		kind = refusal.TargetNotReady
 	default:
 		f.Busy(choice.Runner.Life(), now.Add(fullPause))
 	}
-	refused := refusal.New(kind, "come back after the time in Retry-After", "target %s did not take the request (status %d)", choice.Runner.ID, a.Status).After(retryAfter)
-	return result{refused: refused, reason: retry.TargetAway, again: true}, true
+	refused := refusal.New(kind, "come back after the time in Retry-After", "target %s did not take the request (status %d)", choice.Runner.ID, a.Status).WithRetryAfter(retryAfter)
+	return result{refused: refused, reason: retry.TargetUnavailable, again: true}, true
 }
 
 // misjudged corrects the belief in a runner's weights after it said that they
@@ -99,7 +99,7 @@
 	}
 	if !sent {
 		s.ticket.Unsent()
-		refused := refusal.New(refusal.NoTarget, "come back after the time in Retry-After", "target %s can't be reached: %v", choice.Runner.ID, err).After(retryAfter)
+		refused := refusal.New(refusal.NoTarget, "come back after the time in Retry-After", "target %s can't be reached: %v", choice.Runner.ID, err).WithRetryAfter(retryAfter)
 		return result{refused: refused, reason: retry.Unreachable, again: true}
 	}
 	s.ran++
--- a/router/overload.go
+++ b/router/overload.go
@@ -35,16 +35,16 @@
 // and with the time until the backlog has shrunk.
 func (s *session) overloaded(choice fleet.Choice) *refusal.Error {
 	reading := choice.Reading
-	if s.router.fleet.Off(policy.LightWaits) {
+	if s.router.fleet.Off(policy.LightWaitAllowance) {
 		reading = 0
 	}
 	limit := waitLimit(s.in.route.Objective, reading)
-	if s.ran > 0 || s.in.Model == "" || limit <= 0 || !choice.Known || s.router.fleet.Off(policy.Refusing) || choice.Wait <= limit {
+	if s.ran > 0 || s.in.Model == "" || limit <= 0 || !choice.Known || s.router.fleet.Off(policy.WaitRefusal) || choice.Wait <= limit {
 		return nil
 	}
 	over := choice.Wait - limit
 	return refusal.New(refusal.QueueFull, "come back after the time in Retry-After",
-		"reading is expected to begin in %v, over %v", choice.Wait.Round(time.Millisecond), limit).After(over + minReturn + rand.N(minReturn))
+		"reading is expected to begin in %v, over %v", choice.Wait.Round(time.Millisecond), limit).WithRetryAfter(over + minReturn + rand.N(minReturn))
 }
 
 // minReturn is the least time after which a refused client is asked back; twice
@@ -62,15 +62,15 @@
 		return s.heldBack(wait)
 	}
 	return refusal.New(refusal.NoTarget, "come back after the time in Retry-After",
-		"none of the targets of service %s can take the request", s.in.service.Name).After(retryAfter)
+		"none of the targets of service %s can take the request", s.in.service.Name).WithRetryAfter(retryAfter)
 }
 
 // heldBack refuses a request whose targets want no more for now.
 func (s *session) heldBack(wait fleet.Wait) *refusal.Error {
 	kind, why := refusal.TargetsLimited, "get as many requests as they take"
 	if wait.Rest {
-		kind, why = refusal.TargetsResting, "asked for rest"
+		kind, why = refusal.TargetsBackingOff, "asked for rest"
 	}
 	return refusal.New(kind, "come back after the time in Retry-After",
-		"the targets of service %s that could take the request %s", s.in.service.Name, why).After(wait.For + minReturn + rand.N(minReturn))
+		"the targets of service %s that could take the request %s", s.in.service.Name, why).WithRetryAfter(wait.For + minReturn + rand.N(minReturn))
 }
--- a/router/recall.go
+++ b/router/recall.go
@@ -83,5 +83,5 @@
 	refused := refusal.New(refusal.WeightsReplaced, "send again what may be repeated, or look the result up",
 		"target %s had not begun it when the time of its weights ended", choice.Runner.ID)
 	refused.Outcome = refusal.Unknown
-	return result{refused: refused, reason: retry.Replaced, again: s.repeatable()}
+	return result{refused: refused, reason: retry.WeightsReplaced, again: s.repeatable()}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -66,7 +66,7 @@
 // cacheWeights is how missing tokens and waiting weigh in the choice of a
 // runner. A missing token costs its own wait and the runner's time, which
 // others wait for.
-var cacheWeights = placement.Weights{Miss: 2, Wait: 1}
+var cacheWeights = placement.CostWeights{Miss: 2, Wait: 1}
 
 // retryAfter is when to come back where nothing better is known: the order of
 // a process's restart or of a load of weights.
@@ -110,8 +110,8 @@
 	in := &admitted{Request: req}
 	config := r.config.Config()
 	if config == nil {
-		return in, refusal.New(refusal.NotReady, "come back after the time in Retry-After, or ask another entry",
-			"this entry has no configuration yet").After(retryAfter)
+		return in, refusal.New(refusal.TargetNotReady, "come back after the time in Retry-After, or ask another entry",
+			"this entry has no configuration yet").WithRetryAfter(retryAfter)
 	}
 	in.route = config.Match(req.Host, req.Path)
 	keyed := config.NeedsKeys() && (in.route == nil || !in.route.Public)
@@ -119,7 +119,7 @@
 		// Neither a key nor an unknown route can be judged by old knowledge: a
 		// key may have been taken away, or a route added, meanwhile.
 		return in, refusal.New(refusal.PlatformDown, "ask another entry",
-			"this entry could not confirm its configuration for too long to trust keys").After(retryAfter)
+			"this entry could not confirm its configuration for too long to trust keys").WithRetryAfter(retryAfter)
 	}
 	if in.route == nil {
 		return in, refusal.New(refusal.NotFound, "check host and path", "no route for %s%s", req.Host, req.Path)
@@ -137,7 +137,7 @@
 	in.content = in.fingerprint()
 	in.limit = earliest(req.Deadline, in.route.Timeout, req.Received)
 	if until := r.leaving.Load(); until != nil && !in.endsBy(*until) {
-		return in, refusal.New(refusal.Stopping, "ask another entry", "this entry stops before the request is expected to end").After(leaveRetryAfter)
+		return in, refusal.New(refusal.Stopping, "ask another entry", "this entry stops before the request is expected to end").WithRetryAfter(leaveRetryAfter)
 	}
 	return in, nil
 }
@@ -153,7 +153,7 @@
 	}
 	l := in.customer.Limit
 	return nil, refusal.New(refusal.ContractExceeded, "come back after the time in Retry-After, or ask the operators for a higher limit",
-		"customer %s is over its limit of %.0f %s a second", in.customer.Name, l.Rate, l.Unit).After(wait)
+		"customer %s is over its limit of %.0f %s a second", in.customer.Name, l.Rate, l.Unit).WithRetryAfter(wait)
 }
 
 func earliest(deadline time.Time, timeout time.Duration, received time.Time) time.Time {
@@ -229,7 +229,7 @@
 	}
 	switch {
 	case errors.Is(context.Cause(ctx), ErrEnding):
-		out := refusal.New(refusal.Stopping, "ask another entry; look the result up where it may have run", "this entry stopped before the request ended").After(leaveRetryAfter)
+		out := refusal.New(refusal.Stopping, "ask another entry; look the result up where it may have run", "this entry stopped before the request ended").WithRetryAfter(leaveRetryAfter)
 		out.Outcome = refused.Outcome
 		return out
 	case errors.Is(ctx.Err(), context.Canceled):
--- a/router/session.go
+++ b/router/session.go
@@ -74,7 +74,7 @@
 		if out.refused == nil && out.answer == nil {
 			return nil
 		}
-		if ctx.Err() == nil && out.again && s.sends < retry.MaxSends && s.mayRetry(out.reason) {
+		if ctx.Err() == nil && out.again && s.sends < retry.MaxAttempts && s.mayRetry(out.reason) {
 			s.logRetry(out)
 			s.awaitEnding(ctx)
 			continue
@@ -212,7 +212,7 @@
 		Long:     choice.Long,
 		Held:     fleet.HeldTokens(s.in.Input, choice.Cached, s.in.Output),
 		// The send that begins now counts as one that may have run.
-		Resumable: s.in.route.Repeatable() && s.ran+1 < s.in.route.Attempts && s.sends < retry.MaxSends,
+		Resumable: s.in.route.Repeatable() && s.ran+1 < s.in.route.Attempts && s.sends < retry.MaxAttempts,
 	}
 }
 
--- a/router/suspects.go
+++ b/router/suspects.go
@@ -19,7 +19,7 @@
 // nineteen targets the requests of others on each of them were lost. The content stays
 // the same.
 func (s *session) judge(now time.Time) *refusal.Error {
-	if s.router.fleet.Off(policy.Suspecting) {
+	if s.router.fleet.Off(policy.PoisonDetection) {
 		return nil
 	}
 	j := s.router.poison.Judge(s.in.content, now)
@@ -31,11 +31,11 @@
 	}
 	switch j.Standing {
 	case poison.Refused:
-		return refusal.New(refusal.EndsTargets, "change the request, or come back after the time in Retry-After; operators can lift the verdict",
-			"%d targets ended while they ran requests with the same content (%s); %s", j.Ends, s.in.content, became).After(j.For)
+		return refusal.New(refusal.CrashesTargets, "change the request, or come back after the time in Retry-After; operators can lift the verdict",
+			"%d targets ended while they ran requests with the same content (%s); %s", j.Ends, s.in.content, became).WithRetryAfter(j.For)
 	case poison.Waiting:
-		return refusal.New(refusal.SuspectUnderWay, "come back after the time in Retry-After",
-			"a target ended while it ran a request with the same content (%s), and another is being tried; %s", s.in.content, became).After(retryAfter)
+		return refusal.New(refusal.SuspectInProgress, "come back after the time in Retry-After",
+			"a target ended while it ran a request with the same content (%s), and another is being tried; %s", s.in.content, became).WithRetryAfter(retryAfter)
 	}
 	return nil
 }
--- a/verdicts/keeper.go
+++ b/verdicts/keeper.go
@@ -27,7 +27,7 @@
 	Table *poison.Table
 	// Seat says whether the process stands in for those that ended, and Soon has the
 	// other entries told at once. Both are set before the keeper is used.
-	Seat    rollout.Office
+	Seat    rollout.Leadership
 	Soon    func()
 	store   store.Store
 	log     logrus.FieldLogger
