--- a/agent/belief.go
+++ b/agent/belief.go
@@ -72,7 +72,7 @@
 // cached returns the index of the deepest boundary that is cached now, or -1.
 func (b *belief) cached(root uint64, hashes []uint64, now time.Time) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
-		if b.pinned[hashes[i]] > 0 || b.isRecent(hashes[i], now) || b.view.Holds(root, hashes[i]) {
+		if b.pinned[hashes[i]] > 0 || b.isRecent(hashes[i], now) || b.view.HasChain(root, hashes[i]) {
 			return i
 		}
 	}
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -26,7 +26,7 @@
 	// slotPause is the mean time between two tries for a load slot.
 	slotPause = 500 * time.Millisecond
 	// slotTTL outlasts the draining and the longest order.
-	slotTTL = 2 * order.LongestOrder
+	slotTTL = 2 * order.OrderTimeout
 	// orderMargin is how old the own record of an order may be when the order
 	// is sent: a process paused between the two must not send it.
 	orderMargin = 2 * time.Second
@@ -84,10 +84,10 @@
 		in.PlatformDownFor = time.Since(o.downSince)
 	}
 	switch order.Next(in) {
-	case order.Rest:
+	case order.NoStep:
 		r.drain(false)
 		o.releaseSlot(ctx)
-	case order.TakeSlot, order.AwaitTurn:
+	case order.AcquireSlot, order.AwaitTurn:
 		o.takeSlot(ctx, loads)
 	case order.Drain:
 		r.drain(true)
@@ -106,7 +106,7 @@
 	targets := snapshot.TargetsOfModel(model)
 	spec := snapshot.Models[model]
 	rank = max(0, slices.Index(targets, name))
-	return spec.WeightsVersion, rank, order.LoadsOf(spec.MinRunners, len(targets))
+	return spec.WeightsVersion, rank, order.ConcurrentLoads(spec.MinRunners, len(targets))
 }
 
 // takeSlot tries each of the first load slots once in a while. Slots hang on
@@ -181,7 +181,7 @@
 	if time.Since(fresh) > orderMargin {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, order.LongestOrder)
+	ctx, cancel := context.WithTimeout(ctx, order.OrderTimeout)
 	defer cancel()
 	err := o.agent.runner.engine.Order(ctx, uint64(fence), desired)
 	result := "done"
@@ -209,7 +209,7 @@
 		o.reached(err)
 		// Without the service the last known fence is used: an engine that
 		// checks refuses it if somebody else has ordered since.
-		return o.othersAt, time.Now(), !o.downSince.IsZero() && time.Since(o.downSince) > order.PlatformPatience
+		return o.othersAt, time.Now(), !o.downSince.IsZero() && time.Since(o.downSince) > order.PlatformGracePeriod
 	}
 	if o.mustWaitOut(entry) {
 		return 0, time.Time{}, false
@@ -238,7 +238,7 @@
 	if entry.Revision != o.othersAt {
 		o.othersAt, o.othersSince = entry.Revision, time.Now()
 	}
-	return time.Since(o.othersSince) < order.LongestOrder
+	return time.Since(o.othersSince) < order.OrderTimeout
 }
 
 // finish marks the order as done, so that nobody waits it out.
--- a/agent/runner.go
+++ b/agent/runner.go
@@ -140,7 +140,7 @@
 
 // touch tells the view which blocks a request has used.
 func (r *runner) touch(j *job, now time.Time) {
-	r.belief.view.Tick(r.clock(now))
+	r.belief.view.SetNow(r.clock(now))
 	if n := len(j.item.PrefixHashes); n > 0 {
 		r.belief.view.Touch(j.req.Root, j.item.PrefixHashes[n-1])
 	}
@@ -252,7 +252,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s.up && s.bootID != r.state.bootID {
-		r.belief.view.Boot(s.bootID)
+		r.belief.view.ResetOnBoot(s.bootID)
 		r.belief.forget()
 	}
 	r.state = s
--- a/agent/watch.go
+++ b/agent/watch.go
@@ -148,10 +148,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.eventDue = time.Time{}
-	r.belief.view.Tick(r.clock(time.Now()))
+	r.belief.view.SetNow(r.clock(time.Now()))
 	verdict := r.belief.view.Apply(e)
 	r.metrics.cacheEvents.WithLabelValues(string(verdict)).Inc()
-	return !r.belief.view.InDoubt()
+	return !r.belief.view.HasGaps()
 }
 
 func (r *runner) resyncOnGaps(ctx context.Context, gaps <-chan struct{}) {
--- a/cache/view.go
+++ b/cache/view.go
@@ -70,8 +70,8 @@
 // lifetimeWeight is the weight of one evicted block in the mean lifetime.
 const lifetimeWeight = 0.01
 
-// Tick sets the clock by which the view tells how long blocks last.
-func (v *View) Tick(millis uint32) {
+// SetNow sets the clock by which the view tells how long blocks last.
+func (v *View) SetNow(millis uint32) {
 	v.now = millis
 }
 
@@ -123,14 +123,14 @@
 	return len(v.blocks)
 }
 
-// InDoubt reports whether events were lost since the last dump.
-func (v *View) InDoubt() bool {
+// HasGaps reports whether events were lost since the last dump.
+func (v *View) HasGaps() bool {
 	return v.doubt
 }
 
-// Boot empties the view when the engine has another boot than the view's. A
+// ResetOnBoot empties the view when the engine has another boot than the view's. A
 // dead engine's entries are never claimed after this returns.
-func (v *View) Boot(bootID string) bool {
+func (v *View) ResetOnBoot(bootID string) bool {
 	if v.bootID == bootID {
 		return false
 	}
@@ -145,7 +145,7 @@
 
 // Apply takes one event.
 func (v *View) Apply(e Event) Verdict {
-	if v.Boot(e.BootID) {
+	if v.ResetOnBoot(e.BootID) {
 		v.take(e)
 		// The first events of the boot may have been missed.
 		v.doubt = e.Seq > 1
@@ -191,7 +191,7 @@
 
 // Resync replaces the view by a dump. A dump older than the view is ignored.
 func (v *View) Resync(d Dump) bool {
-	v.Boot(d.BootID)
+	v.ResetOnBoot(d.BootID)
 	if d.Seq < v.seq {
 		return false
 	}
@@ -209,9 +209,9 @@
 	return true
 }
 
-// Holds reports whether the chain from root up to hash is claimed whole: an
+// HasChain reports whether the chain from root up to hash is claimed whole: an
 // engine can't use a block whose predecessors are gone.
-func (v *View) Holds(root, hash uint64) bool {
+func (v *View) HasChain(root, hash uint64) bool {
 	for range len(v.blocks) + 1 {
 		if hash == root {
 			return true
@@ -235,11 +235,11 @@
 	})
 }
 
-// Longest returns the index of the deepest of the boundary hashes, shortest
+// LongestPrefix returns the index of the deepest of the boundary hashes, shortest
 // first, that is claimed whole, or -1.
-func (v *View) Longest(root uint64, hashes []uint64) int {
+func (v *View) LongestPrefix(root uint64, hashes []uint64) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
-		if v.Holds(root, hashes[i]) {
+		if v.HasChain(root, hashes[i]) {
 			return i
 		}
 	}
--- a/cache/view_test.go
+++ b/cache/view_test.go
@@ -85,7 +85,7 @@
 				v.Resync(m.dump())
 			case 3:
 				m.boot, m.seq, m.blocks = m.boot+"a", 0, map[uint64]uint64{}
-				v.Boot(m.boot)
+				v.ResetOnBoot(m.boot)
 			default:
 				last = m.event(t)
 				v.Apply(last)
@@ -101,10 +101,10 @@
 		return
 	}
 	for h := uint64(100); h <= 120; h++ {
-		if v.Holds(root, h) && m.blocks[h] == 0 {
+		if v.HasChain(root, h) && m.blocks[h] == 0 {
 			t.Fatalf("claims block %d, which the engine does not have", h)
 		}
-		if !v.InDoubt() && !v.Holds(root, h) && m.blocks[h] != 0 {
+		if !v.HasGaps() && !v.HasChain(root, h) && m.blocks[h] != 0 {
 			t.Fatalf("does not claim block %d, though no event was lost", h)
 		}
 	}
@@ -127,7 +127,7 @@
 			t.Errorf("step %d: %s, want %s", i, got, step.want)
 		}
 	}
-	if v.Holds(root, 1) || !v.Holds(root, 4) {
+	if v.HasChain(root, 1) || !v.HasChain(root, 4) {
 		t.Error("a new boot must empty the view at once")
 	}
 }
@@ -137,20 +137,20 @@
 	v := NewView()
 	v.Resync(Dump{BootID: "a", Seq: 1, Blocks: []Block{{1, root}, {2, 1}, {3, 2}}})
 	v.Apply(Event{BootID: "a", Seq: 9})
-	if v.Longest(root, []uint64{1, 2, 3}) != -1 {
+	if v.LongestPrefix(root, []uint64{1, 2, 3}) != -1 {
 		t.Fatal("claims blocks that a lost event may have removed")
 	}
 	v.Confirm(root, 2)
-	if got := v.Longest(root, []uint64{1, 2, 3}); got != 1 {
+	if got := v.LongestPrefix(root, []uint64{1, 2, 3}); got != 1 {
 		t.Errorf("claims up to %d, want 1", got)
 	}
 }
 
 func TestViewLifetime(t *testing.T) {
 	v := NewView()
-	v.Tick(1000)
+	v.SetNow(1000)
 	v.Apply(Event{BootID: "a", Seq: 1, Parent: root, Stored: []uint64{1}})
-	v.Tick(5000)
+	v.SetNow(5000)
 	v.Apply(Event{BootID: "a", Seq: 2, Removed: []uint64{1}})
 	if got := v.Lifetime(); got != 4000 {
 		t.Errorf("lifetime %v ms, want 4000", got)
@@ -183,6 +183,6 @@
 		v.Apply(Event{BootID: "a", Seq: n, Parent: parent, Stored: []uint64{n}})
 	}
 	for b.Loop() {
-		v.Longest(root, []uint64{200, 400, 600, 800})
+		v.LongestPrefix(root, []uint64{200, 400, 600, 800})
 	}
 }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -10,29 +10,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot is a moment on the clock that counts since the machine's start,
+// BootTime is a moment on the clock that counts since the machine's start,
 // suspended or not.
-type Boot time.Duration
+type BootTime time.Duration
 
 // Now returns the present moment.
-func Now() Boot {
+func Now() BootTime {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		// Every kernel since 2.6.39 has this clock; without it nothing may be
 		// taken for fresh, and the zero moment is long ago to none.
 		return 0
 	}
-	return Boot(t.Nano())
+	return BootTime(t.Nano())
 }
 
 // Since returns how long ago a moment was.
-func (b Boot) Since() time.Duration {
+func (b BootTime) Since() time.Duration {
 	return time.Duration(Now() - b)
 }
 
 // Add returns the moment d later.
-func (b Boot) Add(d time.Duration) Boot {
-	return b + Boot(d)
+func (b BootTime) Add(d time.Duration) BootTime {
+	return b + BootTime(d)
 }
 
 // Sleep waits for d, or until ctx ends.
--- a/configsync/state.go
+++ b/configsync/state.go
@@ -72,7 +72,7 @@
 	}
 	dc := prefix.NameHash(dataCentre)
 	slices.SortFunc(own, func(a, b vm.VM) int {
-		return cmp.Compare(prefix.Score(prefix.NameHash(b.Name), dc), prefix.Score(prefix.NameHash(a.Name), dc))
+		return cmp.Compare(prefix.RendezvousScore(prefix.NameHash(b.Name), dc), prefix.RendezvousScore(prefix.NameHash(a.Name), dc))
 	})
 	return own
 }
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := e.contracts.begin(p.customer, p.contract, prefix.Tokens(len(p.prompt.Text))); err != nil {
+	if err := e.contracts.begin(p.customer, p.contract, prefix.TokenCount(len(p.prompt.Text))); err != nil {
 		return nil, err
 	}
 	done := func(tokens int) { e.contracts.end(p.customer, tokens) }
--- a/entry/rollout.go
+++ b/entry/rollout.go
@@ -39,8 +39,8 @@
 		}
 	}
 	moved := r.moved[p.model] == desired
-	needed := order.Needed(p.spec.MinRunners, len(s.TargetsOfModel(p.model)))
-	chosen := order.Serving(desired, p.spec.PreviousVersion, have, needed, moved)
+	needed := order.MinInService(p.spec.MinRunners, len(s.TargetsOfModel(p.model)))
+	chosen := order.ServingVersion(desired, p.spec.PreviousVersion, have, needed, moved)
 	if chosen == desired {
 		r.moved[p.model] = desired
 	}
--- a/entry/session.go
+++ b/entry/session.go
@@ -246,7 +246,7 @@
 		id:     s.eventID(s.assembler.Offset()),
 		finish: &stream.Finish{
 			Reason:           f.Reason,
-			PromptTokens:     prefix.Tokens(len(s.plan.prompt.Text)),
+			PromptTokens:     prefix.TokenCount(len(s.plan.prompt.Text)),
 			CachedTokens:     int(f.CachedTokens),
 			CompletionTokens: s.assembler.Offset(),
 			WeightsVersion:   f.WeightsVersion,
--- a/fleet/cache.go
+++ b/fleet/cache.go
@@ -9,7 +9,7 @@
 
 // cache is what is believed of one runner's or store's cached parts.
 type cache struct {
-	cached *lru.Parts
+	cached *lru.Cache
 	// capacity bounds the tokens of cached; 0 is no bound.
 	capacity int
 	// boot and next say where the reading of its events stands.
@@ -95,7 +95,7 @@
 		if e.stored {
 			c.cached.Use(e.part.Hash, e.part.Tokens, c.capacity)
 		} else {
-			c.cached.Forget(e.part.Hash)
+			c.cached.Remove(e.part.Hash)
 		}
 	}
 }
--- a/fleet/readers.go
+++ b/fleet/readers.go
@@ -82,9 +82,9 @@
 // processes find for an address.
 func (m *members) among(address string) bool {
 	hash := prefix.NameHash(address)
-	own, before := prefix.Score(m.self, hash), 0
+	own, before := prefix.RendezvousScore(m.self, hash), 0
 	for _, other := range m.all {
-		if prefix.Score(other, hash) > own {
+		if prefix.RendezvousScore(other, hash) > own {
 			before++
 		}
 	}
--- a/fleet/store.go
+++ b/fleet/store.go
@@ -150,7 +150,7 @@
 		if k.silent {
 			continue
 		}
-		if s := prefix.Score(prefix.NameHash(address), part); best == "" || s > score {
+		if s := prefix.RendezvousScore(prefix.NameHash(address), part); best == "" || s > score {
 			best, score = address, s
 		}
 	}
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -14,27 +14,27 @@
 	"acaciakeel/store"
 )
 
-// Target takes what was read.
-type Target interface {
+// Handler takes what was read.
+type Handler interface {
 	// Reset replaces everything known by a listing of the given revision.
 	Reset(entries []store.Entry, revision int64)
 	// Apply takes changes in their order.
 	Apply(events []store.Event)
 }
 
-// Timing bounds the watching.
-type Timing struct {
-	// Wait is how long the store holds a watch back without news. The view is
+// Options bounds the watching.
+type Options struct {
+	// WatchTimeout is how long the store holds a watch back without news. The view is
 	// confirmed once in this time.
-	Wait time.Duration
-	// Gather is the pause after news before the next watch, so that changes
+	WatchTimeout time.Duration
+	// BatchDelay is the pause after news before the next watch, so that changes
 	// that come together cost one call.
-	Gather time.Duration
-	// Patience, where set, returns for how long the process lives on what others
+	BatchDelay time.Duration
+	// PeerTimeout, where set, returns for how long the process lives on what others
 	// confirmed before it calls the store itself; 0 is not at all.
-	Patience func() time.Duration
-	// Counted, where set, is told why each watch is made.
-	Counted func(Reason)
+	PeerTimeout func() time.Duration
+	// OnWatch, where set, is told why each watch is made.
+	OnWatch func(Reason)
 }
 
 // Follower follows the keys below a prefix. Its methods may be called by several
@@ -42,8 +42,8 @@
 type Follower struct {
 	store  store.Store
 	prefix string
-	timing Timing
-	target Target
+	timing Options
+	target Handler
 	log    logrus.FieldLogger
 	listed atomic.Bool
 	// checked is a moment up to which the view is known to be complete.
@@ -56,7 +56,7 @@
 }
 
 // New returns a follower that has not begun.
-func New(s store.Store, prefix string, t Timing, target Target, log logrus.FieldLogger) *Follower {
+func New(s store.Store, prefix string, t Options, target Handler, log logrus.FieldLogger) *Follower {
 	return &Follower{store: s, prefix: prefix, timing: t, target: target, log: log, shared: shared{woken: make(chan struct{}, 1)}}
 }
 
@@ -66,18 +66,18 @@
 	if !f.listed.Load() {
 		return 0, false
 	}
-	return clock.Boot(f.checked.Load()).Since(), true
+	return clock.BootTime(f.checked.Load()).Since(), true
 }
 
-// SinceBack returns how long ago the store came back after it could not be
+// SinceRecovery returns how long ago the store came back after it could not be
 // reached; ok is false while it was always there or is away.
-func (f *Follower) SinceBack() (since time.Duration, ok bool) {
+func (f *Follower) SinceRecovery() (since time.Duration, ok bool) {
 	back := f.back.Load()
-	return clock.Boot(back).Since(), back != 0 && f.lostAt.Load() == 0
+	return clock.BootTime(back).Since(), back != 0 && f.lostAt.Load() == 0
 }
 
-// Away reports whether the store could not be reached at the last try.
-func (f *Follower) Away() bool {
+// Disconnected reports whether the store could not be reached at the last try.
+func (f *Follower) Disconnected() bool {
 	return f.lostAt.Load() != 0
 }
 
@@ -134,7 +134,7 @@
 func (f *Follower) watch(ctx context.Context) error {
 	began := clock.Now()
 	after := f.at()
-	events, err := f.store.Watch(ctx, f.prefix, after, f.timing.Wait)
+	events, err := f.store.Watch(ctx, f.prefix, after, f.timing.WatchTimeout)
 	if err != nil {
 		return err
 	}
@@ -147,14 +147,14 @@
 	if len(events.Events) > 0 && f.told != nil {
 		// Told before the view has them: a confirmation with their revision must
 		// find them told already, or all who hear it would ask the store.
-		f.told(Changes{After: after, Events: events, Back: f.sinceBack()})
+		f.told(Changes{After: after, Events: events, SinceRecovery: f.sinceBack()})
 	}
 	f.apply(events.Events, events.Revision)
 	// The answer says what was new after the call arrived, so the call's
 	// beginning is a moment up to which the view is complete.
 	f.confirm(began)
 	if len(events.Events) > 0 {
-		clock.Sleep(ctx, f.timing.Gather)
+		clock.Sleep(ctx, f.timing.BatchDelay)
 	}
 	return nil
 }
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -73,7 +73,7 @@
 	log.SetOutput(io.Discard)
 	s := &script{answers: answers, done: make(chan struct{})}
 	target := &seen{}
-	f := New(s, "", Timing{Wait: time.Second}, target, log)
+	f := New(s, "", Options{WatchTimeout: time.Second}, target, log)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
@@ -115,7 +115,7 @@
 	if _, ok := f.Age(); !ok {
 		t.Error("nothing is known after a listing")
 	}
-	if _, back := f.SinceBack(); !back {
+	if _, back := f.SinceRecovery(); !back {
 		t.Error("the store's return was not noted")
 	}
 }
--- a/follow/share.go
+++ b/follow/share.go
@@ -22,8 +22,8 @@
 	lost bool
 	// direct is the last moment up to which a call of this process's own confirmed
 	// the view, served that up to which one did whose turn comes before.
-	direct clock.Boot
-	served clock.Boot
+	direct clock.BootTime
+	served clock.BootTime
 	// behind is set where another process knows of changes that this one missed.
 	behind bool
 	woken  chan struct{}
@@ -35,17 +35,17 @@
 type Changes struct {
 	After  int64
 	Events store.Events
-	// Back is how long ago the store came back, by who tells this; 0 where it
+	// SinceRecovery is how long ago the store came back, by who tells this; 0 where it
 	// was always there. Entries that vanish then may only have lapsed.
-	Back time.Duration
+	SinceRecovery time.Duration
 }
 
 // Confirmation is what a process says of its view: that it has all changes up to
 // a revision, and how long ago it was complete.
 type Confirmation struct {
-	Revision int64
-	Age      time.Duration
-	Back     time.Duration
+	Revision      int64
+	Age           time.Duration
+	SinceRecovery time.Duration
 }
 
 // OnChanges has called told with the changes that this process's own watches bring.
@@ -63,27 +63,27 @@
 func (f *Follower) Confirmation() (c Confirmation, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c = Confirmation{Revision: f.revision, Age: f.direct.Since(), Back: f.sinceBack()}
+	c = Confirmation{Revision: f.revision, Age: f.direct.Since(), SinceRecovery: f.sinceBack()}
 	return c, f.listed.Load() && f.direct != 0 && c.Age < confirmedFor
 }
 
 // sinceBack returns how long ago the store came back; 0 where it was always there.
 func (f *Follower) sinceBack() time.Duration {
-	since, ok := f.SinceBack()
+	since, ok := f.SinceRecovery()
 	if !ok {
 		return 0
 	}
 	return max(since, 1)
 }
 
-// Heard takes changes that another process's watch brought. Where this one lacks
+// ReceiveChanges takes changes that another process's watch brought. Where this one lacks
 // some before them it will ask the store itself; while it lists, it takes none, as
 // the listing may be older than they are.
-func (f *Follower) Heard(c Changes) {
+func (f *Follower) ReceiveChanges(c Changes) {
 	if !f.listed.Load() || f.forgotten() {
 		return
 	}
-	f.heardBack(c.Back)
+	f.heardBack(c.SinceRecovery)
 	if c.After > f.at() {
 		f.wake()
 		return
@@ -91,15 +91,15 @@
 	f.apply(c.Events.Events, c.Events.Revision)
 }
 
-// HeardConfirmation takes another process's confirmation that was given after a
+// ReceiveConfirmation takes another process's confirmation that was given after a
 // moment of this process's clock: whatever happened to it on its way, the view was
 // complete its age before that moment. before is set where the other one's turn to
 // watch comes before this one's.
-func (f *Follower) HeardConfirmation(c Confirmation, after clock.Boot, before bool) {
+func (f *Follower) ReceiveConfirmation(c Confirmation, after clock.BootTime, before bool) {
 	if !f.listed.Load() {
 		return
 	}
-	f.heardBack(c.Back)
+	f.heardBack(c.SinceRecovery)
 	if c.Revision > f.at() {
 		f.wake()
 		return
@@ -141,10 +141,10 @@
 // rest returns for how long this process may go on without a call of its own, and
 // where that is over, why.
 func (f *Follower) rest() (time.Duration, Reason) {
-	if !f.listed.Load() || f.timing.Patience == nil {
+	if !f.listed.Load() || f.timing.PeerTimeout == nil {
 		return 0, Turn
 	}
-	patience := f.timing.Patience()
+	patience := f.timing.PeerTimeout()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -159,8 +159,8 @@
 }
 
 func (f *Follower) count(r Reason) {
-	if f.timing.Counted != nil {
-		f.timing.Counted(r)
+	if f.timing.OnWatch != nil {
+		f.timing.OnWatch(r)
 	}
 }
 
@@ -169,10 +169,10 @@
 // store that is away for eight seconds, a hundred entries that each try by
 // themselves make three thousand. Whoever reaches it first tells the others.
 func (f *Follower) leftToOthers() time.Duration {
-	if !f.listed.Load() || f.timing.Patience == nil {
+	if !f.listed.Load() || f.timing.PeerTimeout == nil {
 		return 0
 	}
-	return f.timing.Patience()
+	return f.timing.PeerTimeout()
 }
 
 // idle waits for d, or until there is something that others know.
@@ -220,7 +220,7 @@
 }
 
 // confirm notes that a call of this process's own confirmed the view.
-func (f *Follower) confirm(moment clock.Boot) {
+func (f *Follower) confirm(moment clock.BootTime) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.direct, f.behind = moment, false
@@ -228,7 +228,7 @@
 }
 
 // advance notes that the view is complete up to a moment; the caller holds mu.
-func (f *Follower) advance(moment clock.Boot) {
+func (f *Follower) advance(moment clock.BootTime) {
 	if int64(moment) > f.checked.Load() {
 		f.checked.Store(int64(moment))
 	}
--- a/follow/share_test.go
+++ b/follow/share_test.go
@@ -21,7 +21,7 @@
 	log.SetOutput(io.Discard)
 	s := &script{answers: append([]any{store.Listing{Revision: 5}}, answers...), done: make(chan struct{})}
 	target := &seen{}
-	f := New(s, "", Timing{Wait: time.Second, Patience: func() time.Duration { return patience }}, target, log)
+	f := New(s, "", Options{WatchTimeout: time.Second, PeerTimeout: func() time.Duration { return patience }}, target, log)
 	if err := f.list(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 // the other is silent it asks itself, so that its view never grows old.
 func TestOneWatchServesMany(t *testing.T) {
 	s, _, f := begin(t, time.Hour)
-	f.HeardConfirmation(Confirmation{Revision: 5, Age: time.Millisecond}, clock.Now(), true)
+	f.ReceiveConfirmation(Confirmation{Revision: 5, Age: time.Millisecond}, clock.Now(), true)
 	f.runFor(50 * time.Millisecond)
 	if got := fmt.Sprint(s.calls); got != "[list]" {
 		t.Errorf("called %s beside one who watches", got)
@@ -48,7 +48,7 @@
 		t.Error("one that has just listed can't confirm its view")
 	}
 	s, _, f = begin(t, 20*time.Millisecond)
-	f.HeardConfirmation(Confirmation{Revision: 5}, clock.Now(), true)
+	f.ReceiveConfirmation(Confirmation{Revision: 5}, clock.Now(), true)
 	f.runFor(100 * time.Millisecond)
 	if got := fmt.Sprint(s.calls); got != "[list watch 5]" {
 		t.Errorf("called %s after the other was silent", got)
@@ -64,8 +64,8 @@
 	if got := fmt.Sprint(s.calls); got != "[list watch 5]" {
 		t.Errorf("one whose turn comes later called %s", got)
 	}
-	f.HeardConfirmation(Confirmation{Revision: 5}, clock.Now(), true)
-	if _, back := f.SinceBack(); !back || f.Away() {
+	f.ReceiveConfirmation(Confirmation{Revision: 5}, clock.Now(), true)
+	if _, back := f.SinceRecovery(); !back || f.Disconnected() {
 		t.Error("the word that the store answers was not believed")
 	}
 	s, _, f = begin(t, 0, errCut, errCut, errCut)
@@ -79,7 +79,7 @@
 // from the watch: two that wait for each other's word would both stop watching.
 func TestWordOfALaterTurnDoesNotFree(t *testing.T) {
 	s, _, f := begin(t, time.Hour)
-	f.HeardConfirmation(Confirmation{Revision: 5}, clock.Now(), false)
+	f.ReceiveConfirmation(Confirmation{Revision: 5}, clock.Now(), false)
 	f.runFor(30 * time.Millisecond)
 	if got := fmt.Sprint(s.calls); got != "[list watch 5]" {
 		t.Errorf("called %s", got)
@@ -94,7 +94,7 @@
 	_, _, f := begin(t, time.Hour)
 	mark := clock.Now().Add(-20 * time.Second)
 	f.checked.Store(int64(clock.Now().Add(-time.Minute)))
-	f.HeardConfirmation(Confirmation{Revision: 5, Age: 300 * time.Millisecond}, mark, true)
+	f.ReceiveConfirmation(Confirmation{Revision: 5, Age: 300 * time.Millisecond}, mark, true)
 	if age, _ := f.Age(); age < 20*time.Second+300*time.Millisecond {
 		t.Errorf("by a word that answers a mark of 20 s ago the view is %v old", age)
 	}
@@ -105,14 +105,14 @@
 // beyond it counts: the view would pass for current without it.
 func TestChangesHeard(t *testing.T) {
 	s, target, f := begin(t, time.Hour, store.Events{Revision: 9, Events: []store.Event{change("c", 8, false), change("d", 9, false)}})
-	f.HeardConfirmation(Confirmation{Revision: 5}, clock.Now(), true)
+	f.ReceiveConfirmation(Confirmation{Revision: 5}, clock.Now(), true)
 	six := Changes{After: 5, Events: store.Events{Revision: 6, Events: []store.Event{change("a", 6, false)}}}
-	f.Heard(six)
-	f.Heard(six)
-	f.Heard(Changes{After: 5, Events: store.Events{Revision: 7, Events: []store.Event{change("a", 6, false), change("b", 7, true)}}})
-	f.Heard(Changes{After: 8, Events: store.Events{Revision: 9, Events: []store.Event{change("d", 9, false)}}})
+	f.ReceiveChanges(six)
+	f.ReceiveChanges(six)
+	f.ReceiveChanges(Changes{After: 5, Events: store.Events{Revision: 7, Events: []store.Event{change("a", 6, false), change("b", 7, true)}}})
+	f.ReceiveChanges(Changes{After: 8, Events: store.Events{Revision: 9, Events: []store.Event{change("d", 9, false)}}})
 	before := f.checked.Load()
-	f.HeardConfirmation(Confirmation{Revision: 9}, clock.Now(), true)
+	f.ReceiveConfirmation(Confirmation{Revision: 9}, clock.Now(), true)
 	if f.checked.Load() != before {
 		t.Error("a view that lacks changes was confirmed")
 	}
@@ -133,7 +133,7 @@
 	if err := f.watch(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	f.Heard(Changes{After: 5, Events: store.Events{Revision: 7, Events: []store.Event{change("a", 7, false)}}})
+	f.ReceiveChanges(Changes{After: 5, Events: store.Events{Revision: 7, Events: []store.Event{change("a", 7, false)}}})
 	f.runFor(100 * time.Millisecond)
 	if got := fmt.Sprint(target.log); got != "[reset 0 at 5 reset 0 at 6 a deleted=false]" {
 		t.Errorf("passed on %s", got)
@@ -145,11 +145,11 @@
 // the store has just returned, or it drops targets that are back a moment later.
 func TestReturnOfTheStoreIsTold(t *testing.T) {
 	_, _, f := begin(t, time.Hour)
-	if _, back := f.SinceBack(); back {
+	if _, back := f.SinceRecovery(); back {
 		t.Fatal("the store was never away here")
 	}
-	f.Heard(Changes{After: 5, Back: 100 * time.Millisecond, Events: store.Events{Revision: 6, Events: []store.Event{change("a", 6, true)}}})
-	if since, back := f.SinceBack(); !back || since < 100*time.Millisecond || since > 10*time.Second {
+	f.ReceiveChanges(Changes{After: 5, SinceRecovery: 100 * time.Millisecond, Events: store.Events{Revision: 6, Events: []store.Event{change("a", 6, true)}}})
+	if since, back := f.SinceRecovery(); !back || since < 100*time.Millisecond || since > 10*time.Second {
 		t.Errorf("the store is back since %v, known: %v", since, back)
 	}
 }
@@ -164,7 +164,7 @@
 func (r *returning) Reset([]store.Entry, int64) {}
 
 func (r *returning) Apply([]store.Event) {
-	_, back := r.f.SinceBack()
+	_, back := r.f.SinceRecovery()
 	r.back = append(r.back, back)
 }
 
--- a/internal/load/micro.go
+++ b/internal/load/micro.go
@@ -66,7 +66,7 @@
 	s := &Slope{Name: "agent_question_lookup", Size: "prompt blocks cached", Cost: "microseconds"}
 	v := filledView(40000)
 	for _, n := range []uint64{100, 200, 400, 800} {
-		s.Add(float64(n), timeOf(5000, func(int) { v.Longest(0, []uint64{n / 2, n}) }))
+		s.Add(float64(n), timeOf(5000, func(int) { v.LongestPrefix(0, []uint64{n / 2, n}) }))
 	}
 	return s
 }
--- a/internal/standin/engine/sequence.go
+++ b/internal/standin/engine/sequence.go
@@ -55,7 +55,7 @@
 		id:        r.RequestID,
 		priority:  r.Priority,
 		hashes:    hashes,
-		tokens:    max(1, prefix.Tokens(len(prompt))),
+		tokens:    max(1, prefix.TokenCount(len(prompt))),
 		maxTokens: r.MaxTokens,
 		root:      root,
 		text:      newGenerator(weightsVersion, r.Adapter, prompt),
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -23,7 +23,7 @@
 
 	mu    sync.Mutex
 	id    store.LeaseID
-	until clock.Boot
+	until clock.BootTime
 	ended bool
 }
 
@@ -80,7 +80,7 @@
 	return true
 }
 
-func (s *Session) set(id store.LeaseID, sent clock.Boot) {
+func (s *Session) set(id store.LeaseID, sent clock.BootTime) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ended {
@@ -109,10 +109,10 @@
 	return s.id != "" && clock.Now() < s.until
 }
 
-// Left returns for how long the lease lasts at least; 0 once it may have lapsed. What
+// Remaining returns for how long the lease lasts at least; 0 once it may have lapsed. What
 // acts by the lease ends by then: a call that was made in time may be held up on its way,
 // and would take effect beside another holder's.
-func (s *Session) Left() time.Duration {
+func (s *Session) Remaining() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.id == "" {
@@ -121,8 +121,8 @@
 	return max(0, time.Duration(s.until.Add(s.margin)-clock.Now()))
 }
 
-// End gives the lease up for good, so that its keys vanish at once.
-func (s *Session) End(ctx context.Context) error {
+// Close gives the lease up for good, so that its keys vanish at once.
+func (s *Session) Close(ctx context.Context) error {
 	id := s.ID()
 	s.set("", 0)
 	s.mu.Lock()
--- a/lru/parts.go
+++ b/lru/parts.go
@@ -1,10 +1,10 @@
 // Package lru holds what is believed to be in a cache of parts of prompts.
 package lru
 
-// Parts are parts of prompts by their hashes, each with its tokens. Beyond a
+// Cache are parts of prompts by their hashes, each with its tokens. Beyond a
 // capacity those unused for longest are forgotten, as a cache by last use does. New
 // returns them empty; they are not safe for concurrent use.
-type Parts struct {
+type Cache struct {
 	held   map[uint64]*part
 	tokens int
 	// head and tail of the list by last use, newest first.
@@ -18,18 +18,18 @@
 }
 
 // New returns no parts.
-func New() *Parts {
-	return &Parts{held: map[uint64]*part{}}
+func New() *Cache {
+	return &Cache{held: map[uint64]*part{}}
 }
 
 // Has reports whether a part is held.
-func (p *Parts) Has(hash uint64) bool {
+func (p *Cache) Has(hash uint64) bool {
 	return p.held[hash] != nil
 }
 
 // Use notes that a part was sent, and forgets the parts unused for longest
 // beyond capacity tokens; a capacity of 0 is no bound.
-func (p *Parts) Use(hash uint64, tokens, capacity int) {
+func (p *Cache) Use(hash uint64, tokens, capacity int) {
 	e := p.held[hash]
 	if e == nil {
 		e = &part{hash: hash, tokens: tokens}
@@ -45,24 +45,24 @@
 }
 
 // Len returns how many parts there are.
-func (p *Parts) Len() int {
+func (p *Cache) Len() int {
 	return len(p.held)
 }
 
-// Forget takes a part out that the runner no longer has.
-func (p *Parts) Forget(hash uint64) {
+// Remove takes a part out that the runner no longer has.
+func (p *Cache) Remove(hash uint64) {
 	if e := p.held[hash]; e != nil {
 		p.drop(e)
 	}
 }
 
-func (p *Parts) drop(e *part) {
+func (p *Cache) drop(e *part) {
 	p.unlink(e)
 	delete(p.held, e.hash)
 	p.tokens -= e.tokens
 }
 
-func (p *Parts) push(e *part) {
+func (p *Cache) push(e *part) {
 	e.prev, e.next = nil, p.head
 	if p.head != nil {
 		p.head.prev = e
@@ -73,7 +73,7 @@
 	}
 }
 
-func (p *Parts) unlink(e *part) {
+func (p *Cache) unlink(e *part) {
 	if e.prev != nil {
 		e.prev.next = e.next
 	} else {
--- a/node/digest.go
+++ b/node/digest.go
@@ -24,7 +24,7 @@
 	// lastHeard is when each member of the group, by its name, was heard last.
 	lastHeard map[string]time.Time
 	// waiting is the group's news for each other group that this node may relay to.
-	waiting map[int]*pulses.News
+	waiting map[int]*pulses.Update
 	// told are the targets whose load was told last, by group; toldAt is when.
 	told   map[int]map[fleet.Life]bool
 	toldAt map[int]time.Time
@@ -74,7 +74,7 @@
 
 // label says whose news a digest is.
 func (l link) label(plan peering.Plan) *keelv1.GroupNews {
-	return &keelv1.GroupNews{Group: uint32(plan.Group), Groups: uint32(plan.Groups)}
+	return &keelv1.GroupNews{Group: uint32(plan.Group), Groups: uint32(plan.GroupCount)}
 }
 
 // heard notes a sign of a member.
@@ -112,23 +112,23 @@
 }
 
 // keep keeps news of the own group's members for the other groups.
-func (d *digest) keep(all pulses.News) {
+func (d *digest) keep(all pulses.Update) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, w := range d.waiting {
-		w.Add(all)
+		w.AppendRelayed(all)
 	}
 }
 
 // collect keeps this node's own news, for those groups alone that it may relay to.
-func (d *digest) collect(plan peering.Plan, own pulses.News) {
+func (d *digest) collect(plan peering.Plan, own pulses.Update) {
 	own.Loads, own.Engines = nil, nil
 	d.mu.Lock()
-	next := map[int]*pulses.News{}
+	next := map[int]*pulses.Update{}
 	for _, l := range plan.Links {
 		if plan.MayRelay(l) {
 			if next[l.Group] = d.waiting[l.Group]; next[l.Group] == nil {
-				next[l.Group] = &pulses.News{}
+				next[l.Group] = &pulses.Update{}
 			}
 		}
 	}
@@ -150,14 +150,14 @@
 			continue
 		}
 		if !d.relays(l, plan.Self, now) {
-			*d.waiting[l.Group] = pulses.News{}
+			*d.waiting[l.Group] = pulses.Update{}
 			continue
 		}
-		rate := digestRate / (plan.Groups - 1)
+		rate := digestRate / (plan.GroupCount - 1)
 		pause := digestEvery + time.Duration(d.owed[l.Group])*time.Second/time.Duration(rate)
 		if since := now.Sub(d.toldAt[l.Group]); since >= pause {
 			d.toldAt[l.Group] = now
-			out = append(out, link{group: l.Group, far: l.Far, room: int(float64(rate) * digestEvery.Seconds())})
+			out = append(out, link{group: l.Group, far: l.RemoteAddresses, room: int(float64(rate) * digestEvery.Seconds())})
 		}
 	}
 	return out
@@ -165,11 +165,11 @@
 
 // take takes the news that waits for a group: all loads, and of the rest what there
 // is room for.
-func (d *digest) take(l link, loads []fleet.Occupancy) pulses.News {
+func (d *digest) take(l link, loads []fleet.Occupancy) pulses.Update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	all := *d.waiting[l.group]
-	*d.waiting[l.group] = pulses.News{}
+	*d.waiting[l.group] = pulses.Update{}
 	all.Loads = loads
 	now := map[fleet.Life]bool{}
 	for _, o := range loads {
@@ -183,17 +183,17 @@
 	}
 	d.told[l.group] = now
 	used := len(all.Loads) * pulses.GroupLoadBytes
-	used += all.Fit(max(l.room-used, l.room/2))
+	used += all.TruncateTo(max(l.room-used, l.room/2))
 	d.owed[l.group] = max(0, used-l.room)
 	return all
 }
 
 // groupNews returns what the node's group tells another one.
-func (p *pulse) groupNews(l link) pulses.News {
+func (p *pulse) groupNews(l link) pulses.Update {
 	now := time.Now()
 	all := p.digest.take(l, p.fleet.GroupLoad(now))
 	all.Engines = p.fleet.GroupWords(now)
-	all.Limits, all.Targets = p.view.limitBook.GroupWords(l.group, now), p.view.targetBook.GroupWords(l.group, now)
+	all.Limits, all.TargetLimits = p.view.limitBook.GroupWords(l.group, now), p.view.targetBook.GroupWords(l.group, now)
 	p.digest.count(digestTold)
 	return all
 }
@@ -204,18 +204,18 @@
 func (p *pulse) takeGroup(message *keelv1.Pulse) {
 	plan := p.view.plan()
 	g := message.Group
-	if int(g.Groups) != plan.Groups || int(g.Group) == plan.Group {
+	if int(g.Groups) != plan.GroupCount || int(g.Group) == plan.Group {
 		p.digest.count(digestLeftOut)
 		return
 	}
 	now := time.Now()
 	p.takeLimits(message, now)
-	p.fleet.HeardGroupLoad(int(g.Group), pulses.GroupLoads(g), now)
+	p.fleet.HeardGroupLoad(int(g.Group), pulses.DecodeGroupLoads(g), now)
 	p.heardFindings(message, now)
 	p.heardSuspects(message, now)
-	p.fleet.HeardGroupCaches(int(g.Group), pulses.Caches(message.Caches), now)
+	p.fleet.HeardGroupCaches(int(g.Group), pulses.DecodeCaches(message.Caches), now)
 	p.heardSaves(message, now)
-	p.fleet.HeardGroupWords(int(g.Group), pulses.Words(message.Engines), now)
+	p.fleet.HeardGroupWords(int(g.Group), pulses.DecodeEngines(message.Engines), now)
 	if g.PassedOn || !p.digest.passesOn(plan, int(g.Group), now) {
 		return
 	}
--- a/node/digest_test.go
+++ b/node/digest_test.go
@@ -46,7 +46,7 @@
 		for other := range n {
 			v.enlist(fmt.Sprintf("%sn%d/x", keys.members, other), string(memberValue(address(other), fmt.Sprintf("z%d", other%5))))
 		}
-		v.follower = follow.New(nil, "", follow.Timing{}, nil, log)
+		v.follower = follow.New(nil, "", follow.Options{}, nil, log)
 		p := newPulse(name, f, poison.New(nil), v, log)
 		p.write = func(datagram []byte, to netip.AddrPort) {
 			if i, ok := at[to]; ok && !h.away[i] {
@@ -145,7 +145,7 @@
 		now, sent, loads, kept := time.Unix(1000, 0), 0, 0, 0
 		begun := now
 		for now.Sub(begun) < 10*time.Second {
-			var all pulses.News
+			var all pulses.Update
 			for i := range 200 {
 				all.Caches = append(all.Caches, fleet.CacheNews{Address: "10.0.0.1:80", Boot: 1, Next: now.UnixMilli() + int64(i), Dropped: make([]uint64, 20)})
 			}
@@ -170,7 +170,7 @@
 			}
 			now = now.Add(pulsePause(plan, 0))
 		}
-		if rate := sent * (plan.Groups - 1) / 10; float64(rate) > 1.2*digestRate {
+		if rate := sent * (plan.GroupCount - 1) / 10; float64(rate) > 1.2*digestRate {
 			t.Errorf("%d targets with load: one hears %d bytes a second from the other groups", loaded, rate)
 		}
 		if loads < loaded || kept == 0 {
--- a/node/leavers.go
+++ b/node/leavers.go
@@ -68,7 +68,7 @@
 
 // tellAside tells those beside the peers of suspects, and of namings where no member
 // tells whoever starts, and returns how many it told.
-func (p *pulse) tellAside(all pulses.News, aside []peering.Member, enrolled bool) int {
+func (p *pulse) tellAside(all pulses.Update, aside []peering.Member, enrolled bool) int {
 	message := &keelv1.Pulse{Sender: p.name, Suspects: pulses.EncodeSuspects(all.Suspects)}
 	if !enrolled {
 		message.Namings = pulses.EncodeNamings(all.Namings)
--- a/node/limits.go
+++ b/node/limits.go
@@ -33,7 +33,7 @@
 	if w == nil {
 		return
 	}
-	n := pulses.Limits(message.Sender, w)
+	n := pulses.DecodeLimits(message.Sender, w)
 	if message.Group != nil {
 		b.HeardGroup(int(message.Group.Group), n, now)
 		return
@@ -110,7 +110,7 @@
 func (n *Node) keepCount(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, countEvery)
-		if _, held := n.view.seat.Held(); !held || n.view.follower.Away() {
+		if _, held := n.view.seat.Held(); !held || n.view.follower.Disconnected() {
 			continue
 		}
 		count, revision, due := n.view.dueCount(time.Now())
--- a/node/node.go
+++ b/node/node.go
@@ -155,7 +155,7 @@
 	targets.OnRebirth(n.view.reborn)
 	targets.OnEnded(func(l fleet.Life) { n.view.verdicts.Table.Ended(l, time.Now()) })
 	watches := telemetry.NewCounter(n.registry, "keel_node_store_watches_total", "Watches of the platform's store, by reason.", "reason")
-	timing := follow.Timing{Wait: watchWait, Gather: gather, Patience: n.view.patience, Counted: func(r follow.Reason) { watches.WithLabelValues(string(r)).Inc() }}
+	timing := follow.Options{WatchTimeout: watchWait, BatchDelay: gather, PeerTimeout: n.view.patience, OnWatch: func(r follow.Reason) { watches.WithLabelValues(string(r)).Inc() }}
 	n.view.follower = follow.New(n.store, platform.AllKeys, timing, platform.NewFeed(n.view), log)
 	n.view.follower.OnChanges(n.pulse.watched)
 	n.registerGauges()
@@ -325,7 +325,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if n.view.follower.Away() || n.view.Config() == nil || !n.seeks() {
+		if n.view.follower.Disconnected() || n.view.Config() == nil || !n.seeks() {
 			continue
 		}
 		if n.view.seat.TryAcquire(ctx) {
--- a/node/pulse.go
+++ b/node/pulse.go
@@ -85,7 +85,7 @@
 // pulsePause returns the pause after a pulse that was told to so many beside the peers.
 func pulsePause(plan peering.Plan, aside int) time.Duration {
 	each := pulsePerPeer
-	if plan.Groups > 1 {
+	if plan.GroupCount > 1 {
 		each = pulsePerFar
 	}
 	return max(pulseEvery, time.Duration(len(plan.Peers)+aside)*each)
@@ -143,16 +143,16 @@
 	p.meetAside(aside, now)
 	// News is taken also where nobody is told, or it would pile up.
 	all := p.gather(now)
-	told := p.tellAside(all, aside, plan.Enrolled)
+	told := p.tellAside(all, aside, plan.Joined)
 	p.digest.collect(plan, all)
 	// A confirmation is taken before the changes and told after them: its revision is
 	// one whose changes have been told.
-	all.View = p.storeView()
+	all.StoreView = p.storeView()
 	changes := p.watch.takeChanges()
 	if len(plan.Peers) > 0 {
 		addresses := addressesOf(plan.Peers)
 		p.tellChanges(changes, addresses)
-		all.Mark = clock.Now()
+		all.SentAt = clock.Now()
 		p.spread(all, nil, addresses)
 	}
 	for _, l := range p.digest.due(plan, time.Now()) {
@@ -162,7 +162,7 @@
 }
 
 // spread sends news to addresses; group is set where it is that of a whole group.
-func (p *pulse) spread(all pulses.News, group *keelv1.GroupNews, addresses []string) int {
+func (p *pulse) spread(all pulses.Update, group *keelv1.GroupNews, addresses []string) int {
 	datagrams, err := all.Datagrams(p.name, group)
 	if err != nil {
 		p.log.WithError(err).WithField("event", "pulse_failed").Error("the others choose without this node's news")
@@ -196,15 +196,15 @@
 }
 
 // gather takes what there is to tell now.
-func (p *pulse) gather(now time.Time) pulses.News {
-	all := pulses.News{Loads: p.fleet.Occupied(pulseLoads), Findings: p.fleet.Findings(now), Caches: p.fleet.News(now), Saves: p.fleet.Saves(), Suspects: p.table.News(now)}
+func (p *pulse) gather(now time.Time) pulses.Update {
+	all := pulses.Update{Loads: p.fleet.Occupied(pulseLoads), Findings: p.fleet.Findings(now), Caches: p.fleet.News(now), Saves: p.fleet.Saves(), Suspects: p.table.News(now)}
 	if now.Sub(p.toldEngines) >= enginesEvery {
 		all.Engines, p.toldEngines = p.fleet.Words(now), now
 	}
 	if p.fleet.Off(policy.LoadSharing) {
 		all.Loads = nil
 	}
-	all.Limits, all.Targets = p.view.limitBook.Words(now), p.view.targetBook.Words(now)
+	all.Limits, all.TargetLimits = p.view.limitBook.Words(now), p.view.targetBook.Words(now)
 	if int64(clock.Now()) < p.tellNamings.Load() {
 		all.Namings = p.namings(now)
 	}
@@ -241,18 +241,18 @@
 	p.digest.heard(message.Sender, now)
 	p.meet(message.Sender, from, now)
 	if message.WholeLoad {
-		p.fleet.HeardLoad(message.Sender, pulses.Loads(message.Loads), now)
+		p.fleet.HeardLoad(message.Sender, pulses.DecodeLoads(message.Loads), now)
 	}
 	p.takeLimits(&message, now)
 	p.takeStore(&message)
 	p.heardNamings(&message, now)
-	p.digest.keep(pulses.News{
+	p.digest.keep(pulses.Update{
 		Findings: p.heardFindings(&message, now),
-		Caches:   p.fleet.HeardCaches(message.Sender, pulses.Caches(message.Caches), now),
+		Caches:   p.fleet.HeardCaches(message.Sender, pulses.DecodeCaches(message.Caches), now),
 		Saves:    p.heardSaves(&message, now),
 		Suspects: p.heardSuspects(&message, now),
 	})
-	p.fleet.HeardWords(message.Sender, pulses.Words(message.Engines), now)
+	p.fleet.HeardWords(message.Sender, pulses.DecodeEngines(message.Engines), now)
 }
 
 // Figures of meetings.
@@ -305,7 +305,7 @@
 func (p *pulse) answer(name string, to netip.AddrPort, now time.Time) bool {
 	held, namings := p.table.Held(now), pulses.EncodeNamings(p.namings(now))
 	limits, targets := p.view.limitBook.All(now), p.view.targetBook.All(now)
-	if len(held)+len(namings)+len(limits.Words)+len(targets.Words) == 0 || p.view.plan().Tells(p.view.keys.members+name) {
+	if len(held)+len(namings)+len(limits.Words)+len(targets.Words) == 0 || p.view.plan().HasPeer(p.view.keys.members+name) {
 		return false
 	}
 	messages := []*keelv1.Pulse{{Sender: p.name, Suspects: pulses.EncodeSuspects(held), Namings: namings}}
@@ -335,25 +335,25 @@
 const toldLag = 100 * time.Millisecond
 
 func (p *pulse) heardNamings(message *keelv1.Pulse, now time.Time) {
-	for _, n := range p.fleet.HeardNamings(pulses.Namings(message.Namings), now.Add(-toldLag)) {
+	for _, n := range p.fleet.HeardNamings(pulses.DecodeNamings(message.Namings), now.Add(-toldLag)) {
 		p.log.WithFields(logrus.Fields{"event": "namings_heard", "from": message.Sender, "model": n.Model, "weights": n.Version, "age_ms": n.Age.Milliseconds()}).Info("another entry tells since when the weights are wanted")
 	}
 }
 
 func (p *pulse) heardFindings(message *keelv1.Pulse, now time.Time) []fleet.Finding {
-	all := pulses.Findings(message.Findings)
+	all := pulses.DecodeFindings(message.Findings)
 	p.logHeard(p.fleet.HeardFindings(all, now), message.Sender)
 	return all
 }
 
 func (p *pulse) heardSuspects(message *keelv1.Pulse, now time.Time) []poison.Report {
-	all := pulses.Suspects(message.Suspects)
+	all := pulses.DecodeSuspects(message.Suspects)
 	p.table.Heard(all, now)
 	return all
 }
 
 func (p *pulse) heardSaves(message *keelv1.Pulse, now time.Time) []fleet.Saves {
-	all := pulses.Saves(message.Saves)
+	all := pulses.DecodeSaves(message.Saves)
 	p.fleet.HeardSaves(all, now)
 	return all
 }
--- a/node/pulse_test.go
+++ b/node/pulse_test.go
@@ -84,7 +84,7 @@
 		t.Errorf("after one round the other holds %+v with load %+v", told.Runners("lm"), told.Inflight(life))
 	}
 	caches := []fleet.CacheNews{{Address: "r:1", Target: life, Boot: 2, Next: 3}}
-	if got := pulses.Caches(pulses.EncodeCaches(caches)); len(got) != 1 || got[0].Target != life {
+	if got := pulses.DecodeCaches(pulses.EncodeCaches(caches)); len(got) != 1 || got[0].Target != life {
 		t.Errorf("%+v arrived, want the life %+v", got, life)
 	}
 }
@@ -112,7 +112,7 @@
 // Many parts are read within one pulse, after new weights. No datagram may grow
 // over a packet, where one lost piece loses all of it, and nothing may be missing.
 func TestPulseFitsPackets(t *testing.T) {
-	var all pulses.News
+	var all pulses.Update
 	for i := range 40 {
 		all.Loads = append(all.Loads, fleet.Occupancy{Target: fleet.Life{ID: fmt.Sprintf("i-%09d", i), Born: 1 << 40}, Inflight: 40, Long: 30, Prefill: 20000})
 		parts := make([]fleet.Part, 12)
@@ -172,12 +172,12 @@
 		w.Sums.Right[i] = float64(i) * 2
 	}
 	w.Sums.Weight = 40
-	if got := pulses.Words(pulses.EncodeWords([]forecast.Word{w})); len(got) != 1 || got[0] != w {
+	if got := pulses.DecodeEngines(pulses.EncodeEngines([]forecast.Word{w})); len(got) != 1 || got[0] != w {
 		t.Errorf("%+v arrived, want %+v", got, w)
 	}
-	other := pulses.EncodeWords([]forecast.Word{w})
+	other := pulses.EncodeEngines([]forecast.Word{w})
 	other[0].Right = other[0].Right[1:]
-	if got := pulses.Words(other); len(got) != 0 {
+	if got := pulses.DecodeEngines(other); len(got) != 0 {
 		t.Errorf("%+v arrived of a word of another shape", got)
 	}
 }
--- a/node/stop.go
+++ b/node/stop.go
@@ -94,7 +94,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	n.endDuties()
-	n.tell("the lease", n.session.End(ctx))
+	n.tell("the lease", n.session.Close(ctx))
 }
 
 func (n *Node) tell(what string, err error) {
--- a/node/view.go
+++ b/node/view.go
@@ -208,7 +208,7 @@
 func (v *view) Gone(id string) {
 	v.foreign.release(id)
 	v.foreign.forget(platform.TargetKey(id))
-	since, back := v.follower.SinceBack()
+	since, back := v.follower.SinceRecovery()
 	if !back || since >= respite {
 		v.drop(id)
 		return
@@ -325,7 +325,7 @@
 	if v.planned == nil {
 		p := peering.New(v.self, slices.Collect(maps.Values(v.members)))
 		v.planned = &p
-		v.logPlace(place{group: p.Group, groups: p.Groups, watches: p.Enrolled && p.Turn == 0})
+		v.logPlace(place{group: p.Group, groups: p.GroupCount, watches: p.Joined && p.Rank == 0})
 	}
 	return *v.planned
 }
--- a/node/view_test.go
+++ b/node/view_test.go
@@ -69,7 +69,7 @@
 func TestWeightsFoundInAListingAreNoOlderThanTheViewBefore(t *testing.T) {
 	v, f := quietView()
 	n := &naming{view: v, done: make(chan struct{})}
-	v.follower = follow.New(&forgetful{}, "", follow.Timing{}, n, v.log)
+	v.follower = follow.New(&forgetful{}, "", follow.Options{}, n, v.log)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go v.follower.Run(ctx)
--- a/node/watchshare.go
+++ b/node/watchshare.go
@@ -72,10 +72,10 @@
 // patience implements follow.Timing.Patience.
 func (v *view) patience() time.Duration {
 	p := v.plan()
-	if !p.Enrolled {
+	if !p.Joined {
 		return 0
 	}
-	return patienceAt(p.Turn)
+	return patienceAt(p.Rank)
 }
 
 // watched takes changes that an own watch brought, to be told at once.
@@ -99,7 +99,7 @@
 // of one revision stay together.
 func divideChanges(c follow.Changes) (pieces []follow.Changes, ok bool) {
 	total, size := 0, 0
-	piece := follow.Changes{After: c.After, Back: c.Back}
+	piece := follow.Changes{After: c.After, SinceRecovery: c.SinceRecovery}
 	for i, e := range c.Events.Events {
 		bytes := len(e.Key) + len(e.Value) + changeBytes
 		if total += bytes; e.Unread != nil || total > changesMost {
@@ -107,7 +107,7 @@
 		}
 		if i > 0 && size+bytes > pulses.DatagramBytes && e.Revision > piece.Events.Revision {
 			pieces = append(pieces, piece)
-			piece, size = follow.Changes{After: piece.Events.Revision, Back: c.Back}, 0
+			piece, size = follow.Changes{After: piece.Events.Revision, SinceRecovery: c.SinceRecovery}, 0
 		}
 		piece.Events.Events = append(piece.Events.Events, e)
 		piece.Events.Revision = e.Revision
@@ -157,7 +157,7 @@
 	if !ok {
 		return nil
 	}
-	out.Revision, out.AgeUs, out.BackUs = c.Revision, pulses.Micros(c.Age), pulses.Micros(c.Back)
+	out.Revision, out.AgeUs, out.BackUs = c.Revision, pulses.Micros(c.Age), pulses.Micros(c.SinceRecovery)
 	return out
 }
 
@@ -170,7 +170,7 @@
 		return
 	}
 	for _, c := range message.Changes {
-		p.view.follower.Heard(decodeChanges(c))
+		p.view.follower.ReceiveChanges(decodeChanges(c))
 	}
 	if message.View == nil {
 		return
@@ -180,14 +180,14 @@
 		if hash != p.watch.self || i >= len(message.View.HeardUs) {
 			continue
 		}
-		c := follow.Confirmation{Revision: message.View.Revision, Age: pulses.FromMicros(message.View.AgeUs), Back: pulses.FromMicros(message.View.BackUs)}
-		after := clock.Boot(pulses.FromMicros(message.View.HeardUs[i]))
-		p.view.follower.HeardConfirmation(c, after, plan.Before(p.view.keys.members+message.Sender))
+		c := follow.Confirmation{Revision: message.View.Revision, Age: pulses.FromMicros(message.View.AgeUs), SinceRecovery: pulses.FromMicros(message.View.BackUs)}
+		after := clock.BootTime(pulses.FromMicros(message.View.HeardUs[i]))
+		p.view.follower.ReceiveConfirmation(c, after, plan.RanksBefore(p.view.keys.members+message.Sender))
 	}
 }
 
 func encodeChanges(c follow.Changes) *keelv1.StoreChanges {
-	w := &keelv1.StoreChanges{After: c.After, Revision: c.Events.Revision, BackUs: pulses.Micros(c.Back)}
+	w := &keelv1.StoreChanges{After: c.After, Revision: c.Events.Revision, BackUs: pulses.Micros(c.SinceRecovery)}
 	for _, e := range c.Events.Events {
 		w.Events = append(w.Events, &keelv1.StoreChange{Key: e.Key, Value: e.Value, Revision: e.Revision, Deleted: e.Deleted})
 	}
@@ -207,7 +207,7 @@
 }
 
 func decodeChanges(w *keelv1.StoreChanges) follow.Changes {
-	c := follow.Changes{After: w.After, Events: store.Events{Revision: w.Revision}, Back: pulses.FromMicros(w.BackUs)}
+	c := follow.Changes{After: w.After, Events: store.Events{Revision: w.Revision}, SinceRecovery: pulses.FromMicros(w.BackUs)}
 	for _, e := range w.Events {
 		c.Events.Events = append(c.Events.Events, store.Event{Entry: store.Entry{Key: e.Key, Value: e.Value, Revision: e.Revision}, Deleted: e.Deleted})
 	}
--- a/order/order.go
+++ b/order/order.go
@@ -10,23 +10,23 @@
 // past three each becomes slower.
 const MaxLoads = 3
 
-// LongestOrder bounds one order to an engine. Whoever takes over from a holder
+// OrderTimeout bounds one order to an engine. Whoever takes over from a holder
 // that may still be waiting for its engine waits this long first.
-const LongestOrder = 20 * time.Second
+const OrderTimeout = 20 * time.Second
 
-// PlatformPatience is how long an agent waits for the platform's service to
+// PlatformGracePeriod is how long an agent waits for the platform's service to
 // come back before runners take turns without it.
-const PlatformPatience = 10 * time.Second
+const PlatformGracePeriod = 10 * time.Second
 
 // Step is what an agent does next.
 type Step string
 
 // The steps of bringing an engine to its weights, in their order.
 const (
-	// Rest: the engine has the weights that it should have, or is away.
-	Rest Step = "rest"
-	// TakeSlot: get one of the deployment's load slots.
-	TakeSlot Step = "take_slot"
+	// NoStep: the engine has the weights that it should have, or is away.
+	NoStep Step = "rest"
+	// AcquireSlot: get one of the deployment's load slots.
+	AcquireSlot Step = "take_slot"
 	// AwaitTurn: the slots can't be asked for; wait for the runner's turn.
 	AwaitTurn Step = "await_turn"
 	// Drain: take no new requests, and let what waits and runs end.
@@ -54,9 +54,9 @@
 func Next(in Input) Step {
 	switch {
 	case !in.EngineUp || in.Desired == "" || in.Loaded == in.Desired:
-		return Rest
+		return NoStep
 	case !in.SlotHeld && in.PlatformDownFor == 0:
-		return TakeSlot
+		return AcquireSlot
 	case !in.SlotHeld && in.PlatformDownFor < Turn(in.Rank):
 		return AwaitTurn
 	case !in.Idle:
@@ -69,29 +69,29 @@
 // runner of a rank may load without a slot: MaxLoads at a time, a longest
 // order apart.
 func Turn(rank int) time.Duration {
-	return PlatformPatience + time.Duration(rank/MaxLoads)*LongestOrder
+	return PlatformGracePeriod + time.Duration(rank/MaxLoads)*OrderTimeout
 }
 
-// Needed returns how many of a model's runners must stay in service while
+// MinInService returns how many of a model's runners must stay in service while
 // weights roll out: what the operator says, or half of them.
-func Needed(minRunners, runners int) int {
+func MinInService(minRunners, runners int) int {
 	if minRunners > 0 {
 		return min(minRunners, runners)
 	}
 	return (runners + 1) / 2
 }
 
-// LoadsOf returns how many of a model's runners may load at once: no more
+// ConcurrentLoads returns how many of a model's runners may load at once: no more
 // than leaves the needed ones in service, but one, or nothing would ever change.
-func LoadsOf(minRunners, runners int) int {
-	return min(MaxLoads, max(1, runners-Needed(minRunners, runners)))
+func ConcurrentLoads(minRunners, runners int) int {
+	return min(MaxLoads, max(1, runners-MinInService(minRunners, runners)))
 }
 
-// Serving returns the weights that new requests go to while a model changes
+// ServingVersion returns the weights that new requests go to while a model changes
 // from previous to desired: the desired ones as soon as enough runners are
 // known to have them, and for good from then on, since no request may move
 // to older weights.
-func Serving(desired, previous string, withDesired, minRunners int, moved bool) string {
+func ServingVersion(desired, previous string, withDesired, minRunners int, moved bool) string {
 	if previous == "" || moved || withDesired >= minRunners {
 		return desired
 	}
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -14,14 +14,14 @@
 		in   Input
 		want Step
 	}{
-		{"has its weights", with(func(i *Input) { i.Loaded = "v2" }), Rest},
-		{"is away", with(func(i *Input) { i.EngineUp = false }), Rest},
-		{"no slot yet", old, TakeSlot},
+		{"has its weights", with(func(i *Input) { i.Loaded = "v2" }), NoStep},
+		{"is away", with(func(i *Input) { i.EngineUp = false }), NoStep},
+		{"no slot yet", old, AcquireSlot},
 		{"requests run", with(func(i *Input) { i.SlotHeld = true }), Drain},
 		{"idle with a slot", with(func(i *Input) { i.SlotHeld, i.Idle = true, true }), Load},
 		{"platform down for a moment", with(func(i *Input) { i.PlatformDownFor = 1 }), AwaitTurn},
-		{"platform down for long", with(func(i *Input) { i.PlatformDownFor, i.Idle = PlatformPatience, true }), Load},
-		{"platform down, a later rank", with(func(i *Input) { i.PlatformDownFor, i.Rank = PlatformPatience, MaxLoads }), AwaitTurn},
+		{"platform down for long", with(func(i *Input) { i.PlatformDownFor, i.Idle = PlatformGracePeriod, true }), Load},
+		{"platform down, a later rank", with(func(i *Input) { i.PlatformDownFor, i.Rank = PlatformGracePeriod, MaxLoads }), AwaitTurn},
 	} {
 		if got := Next(test.in); got != test.want {
 			t.Errorf("%s: %s, want %s", test.name, got, test.want)
@@ -42,7 +42,7 @@
 		// Runners that fail later must not send requests back to older weights.
 		{"v1", 0, true, "v2"},
 	} {
-		if got := Serving("v2", test.previous, test.have, 2, test.moved); got != test.want {
+		if got := ServingVersion("v2", test.previous, test.have, 2, test.moved); got != test.want {
 			t.Errorf("%+v: %s", test, got)
 		}
 	}
--- a/peering/peering.go
+++ b/peering/peering.go
@@ -41,17 +41,17 @@
 	// Self is the process's key.
 	Self string
 	// Group is the process's group, of Groups.
-	Group  int
-	Groups int
+	Group      int
+	GroupCount int
 	// Peers are the other members of its group, in the order that all of them find.
 	Peers []Member
-	// Turn is how many of them come before the process in that order, for duties of
+	// Rank is how many of them come before the process in that order, for duties of
 	// which one member of a group is enough.
-	Turn int
+	Rank int
 	// Links are the ways to the other groups.
 	Links []Link
-	// Enrolled is set where the process is among the members.
-	Enrolled bool
+	// Joined is set where the process is among the members.
+	Joined bool
 }
 
 // Link is the way between the process's group and another one.
@@ -59,8 +59,8 @@
 	Group int
 	// Relays are the keys of the own group's members that relay, first choice first.
 	Relays []string
-	// Far are the addresses of the members that relay at the other group.
-	Far []string
+	// RemoteAddresses are the addresses of the members that relay at the other group.
+	RemoteAddresses []string
 }
 
 // New returns the plan of the process with key self. Members are divided in the
@@ -76,12 +76,12 @@
 		return has(g, self)
 	})
 	if at < 0 {
-		return Plan{Self: self, Groups: len(groups)}
+		return Plan{Self: self, GroupCount: len(groups)}
 	}
-	p := Plan{Self: self, Group: at, Groups: len(groups), Enrolled: true}
+	p := Plan{Self: self, Group: at, GroupCount: len(groups), Joined: true}
 	for i, m := range ranked(groups[at], "duties") {
 		if m.Key == self {
-			p.Turn = i
+			p.Rank = i
 			continue
 		}
 		p.Peers = append(p.Peers, m)
@@ -94,13 +94,13 @@
 	return p
 }
 
-// Before reports whether a member's turn comes before the process's own.
-func (p Plan) Before(key string) bool {
-	return has(p.Peers[:p.Turn], key)
+// RanksBefore reports whether a member's turn comes before the process's own.
+func (p Plan) RanksBefore(key string) bool {
+	return has(p.Peers[:p.Rank], key)
 }
 
-// Tells reports whether the member with a key is among those that the process tells.
-func (p Plan) Tells(key string) bool {
+// HasPeer reports whether the member with a key is among those that the process tells.
+func (p Plan) HasPeer(key string) bool {
 	return has(p.Peers, key)
 }
 
@@ -131,7 +131,7 @@
 		l.Relays = append(l.Relays, m.Key)
 	}
 	for _, m := range relays(groups, other, own) {
-		l.Far = append(l.Far, m.Address)
+		l.RemoteAddresses = append(l.RemoteAddresses, m.Address)
 	}
 	return l
 }
@@ -148,7 +148,7 @@
 	hash := prefix.NameHash(duty)
 	out := slices.Clone(members)
 	slices.SortFunc(out, func(a, b Member) int {
-		return cmp.Compare(prefix.Score(prefix.NameHash(b.Key), hash), prefix.Score(prefix.NameHash(a.Key), hash))
+		return cmp.Compare(prefix.RendezvousScore(prefix.NameHash(b.Key), hash), prefix.RendezvousScore(prefix.NameHash(a.Key), hash))
 	})
 	return out
 }
--- a/peering/peering_test.go
+++ b/peering/peering_test.go
@@ -34,17 +34,17 @@
 				reached[peer.Key] = true
 			}
 			for _, l := range p.Links {
-				if len(l.Far) == 0 || len(l.Relays) == 0 {
+				if len(l.RemoteAddresses) == 0 || len(l.Relays) == 0 {
 					t.Fatalf("%d members: no way from group %d to %d", n, p.Group, l.Group)
 				}
 				if l.Relays[0] == key {
 					duties[key]++
 				}
-				far := plans[byAddress[l.Far[0]]]
-				if far.Group != l.Group || far.Links[slices.IndexFunc(far.Links, func(b Link) bool { return b.Group == p.Group })].Relays[0] != byAddress[l.Far[0]] {
+				far := plans[byAddress[l.RemoteAddresses[0]]]
+				if far.Group != l.Group || far.Links[slices.IndexFunc(far.Links, func(b Link) bool { return b.Group == p.Group })].Relays[0] != byAddress[l.RemoteAddresses[0]] {
 					t.Fatalf("%d members: group %d relays to one of group %d that does not expect it", n, p.Group, l.Group)
 				}
-				reached[byAddress[l.Far[0]]] = true
+				reached[byAddress[l.RemoteAddresses[0]]] = true
 				for _, peer := range far.Peers {
 					reached[peer.Key] = true
 				}
@@ -80,17 +80,17 @@
 			moved++
 		}
 	}
-	if moved > New("m/0", all).Groups {
+	if moved > New("m/0", all).GroupCount {
 		t.Errorf("%d of 102 changed their group when one left", moved)
 	}
 }
 
 // A process that is not enrolled yet, or just left, has nobody to share duties with.
 func TestNotEnrolled(t *testing.T) {
-	if p := New("stranger", members(30)); p.Enrolled || len(p.Peers) != 0 || len(p.Links) != 0 {
+	if p := New("stranger", members(30)); p.Joined || len(p.Peers) != 0 || len(p.Links) != 0 {
 		t.Errorf("one that is no member has the plan %+v", p)
 	}
-	if p := New("stranger", nil); p.Enrolled || p.Groups != 0 {
+	if p := New("stranger", nil); p.Joined || p.GroupCount != 0 {
 		t.Errorf("without members the plan is %+v", p)
 	}
 }
--- a/placement/home.go
+++ b/placement/home.go
@@ -15,7 +15,7 @@
 	hash := prefix.NameHash(key)
 	order := slices.Clone(targets)
 	slices.SortFunc(order, func(a, b string) int {
-		return cmp.Compare(prefix.Score(prefix.NameHash(b), hash), prefix.Score(prefix.NameHash(a), hash))
+		return cmp.Compare(prefix.RendezvousScore(prefix.NameHash(b), hash), prefix.RendezvousScore(prefix.NameHash(a), hash))
 	})
 	return order
 }
--- a/placement/order.go
+++ b/placement/order.go
@@ -36,7 +36,7 @@
 	}
 	worst := uint64(0)
 	for _, i := range indices {
-		score := prefix.Score(runners[i].hash, hash)
+		score := prefix.RendezvousScore(runners[i].hash, hash)
 		if len(o.pool) == keep && score <= worst {
 			continue
 		}
@@ -83,7 +83,7 @@
 func (o *Ranker) rank(runners []Runner, n int, hash uint64) {
 	subset := o.pool[:n]
 	for i := range subset {
-		subset[i].score = prefix.Score(runners[subset[i].index].hash, hash)
+		subset[i].score = prefix.RendezvousScore(runners[subset[i].index].hash, hash)
 	}
 	slices.SortFunc(subset, func(a, b ranked) int {
 		if a.score >= b.score {
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -84,8 +84,8 @@
 	Ends []int
 }
 
-// Tokens returns how many tokens n bytes make.
-func Tokens(n int) int {
+// TokenCount returns how many tokens n bytes make.
+func TokenCount(n int) int {
 	return (n + BytesPerToken - 1) / BytesPerToken
 }
 
@@ -96,7 +96,7 @@
 	blocks := len(p.Text) / blockBytes
 	levelAt := blocksOf(p.Ends, blockBytes, blocks)
 	pieceBlocks := max(1, pieceTokens/blockTokens)
-	chain := Chain{Tokens: Tokens(len(p.Text))}
+	chain := Chain{Tokens: TokenCount(len(p.Text))}
 	hash := Root(salt)
 	for i := 1; i <= blocks; i++ {
 		hash = Next(hash, p.Text[(i-1)*blockBytes:i*blockBytes])
@@ -134,9 +134,9 @@
 	return append(kept, all[len(all)-(MaxBoundaries-MaxLevels):]...)
 }
 
-// Score ranks a name, by its hash, under another hash for rendezvous: the
+// RendezvousScore ranks a name, by its hash, under another hash for rendezvous: the
 // highest scores hold it.
-func Score(name uint64, hash uint64) uint64 {
+func RendezvousScore(name uint64, hash uint64) uint64 {
 	var buf [8]byte
 	binary.LittleEndian.PutUint64(buf[:], name^hash)
 	return xxhash.Sum64(buf[:])
--- a/pulses/held.go
+++ b/pulses/held.go
@@ -26,8 +26,8 @@
 	return out
 }
 
-// Suspects leaves out what names no content.
-func Suspects(all []*keelv1.SuspectContent) []poison.Report {
+// DecodeSuspects leaves out what names no content.
+func DecodeSuspects(all []*keelv1.SuspectContent) []poison.Report {
 	var out []poison.Report
 	for _, w := range all {
 		if len(w.Fingerprint) != len(poison.Fingerprint{}) {
@@ -61,8 +61,8 @@
 	return out
 }
 
-// Namings decodes them.
-func Namings(all []*keelv1.WeightsNaming) []fleet.Naming {
+// DecodeNamings decodes them.
+func DecodeNamings(all []*keelv1.WeightsNaming) []fleet.Naming {
 	var out []fleet.Naming
 	for _, n := range all {
 		// A word is a peer's, not to be trusted to fit.
--- a/pulses/limits.go
+++ b/pulses/limits.go
@@ -30,9 +30,9 @@
 	return out
 }
 
-// Limits leaves out customers without figures of their own, as in a datagram of
+// DecodeLimits leaves out customers without figures of their own, as in a datagram of
 // another shape.
-func Limits(sender string, w *keelv1.LimitNews) quota.News {
+func DecodeLimits(sender string, w *keelv1.LimitNews) quota.News {
 	n := quota.News{Sender: sender, Up: FromMicros(w.UpUs), Heard: int(w.Heard)}
 	for i := range min(len(w.Customer), len(w.Total), len(w.Demand), len(w.Level), len(w.Added)) {
 		n.Words = append(n.Words, quota.Word{
--- a/pulses/wire.go
+++ b/pulses/wire.go
@@ -21,8 +21,8 @@
 // bytes; what can't be divided goes into a larger one.
 const DatagramBytes = 1200
 
-// News is all that one pulse tells.
-type News struct {
+// Update is all that one pulse tells.
+type Update struct {
 	Loads    []fleet.Occupancy
 	Findings []fleet.Finding
 	Caches   []fleet.CacheNews
@@ -31,18 +31,18 @@
 	Suspects []poison.Report
 	Namings  []fleet.Naming
 	Limits   quota.News
-	// Targets is what was sent to targets that name limits.
-	Targets quota.News
+	// TargetLimits is what was sent to targets that name limits.
+	TargetLimits quota.News
 	// mark and view are of the shared watch of the store.
-	Mark clock.Boot
-	View *keelv1.StoreView
+	SentAt    clock.BootTime
+	StoreView *keelv1.StoreView
 }
 
 // newsMost bounds each kind of news that waits to be relayed: a second's of a group.
 const newsMost = 4096
 
-// Add adds what is relayed of other news.
-func (p *News) Add(other News) {
+// AppendRelayed adds what is relayed of other news.
+func (p *Update) AppendRelayed(other Update) {
 	if len(p.Findings) < newsMost {
 		p.Findings = append(p.Findings, other.Findings...)
 	}
@@ -67,16 +67,16 @@
 }
 
 // first returns the pulse that a node's news begins with: its load stands whole in it.
-func (p News) first(sender string) *keelv1.Pulse {
+func (p Update) first(sender string) *keelv1.Pulse {
 	return &keelv1.Pulse{
-		Sender: sender, WholeLoad: true, Loads: encodeLoads(p.Loads), MarkUs: Micros(time.Duration(p.Mark)),
-		View: p.View, Namings: EncodeNamings(p.Namings),
+		Sender: sender, WholeLoad: true, Loads: encodeLoads(p.Loads), MarkUs: Micros(time.Duration(p.SentAt)),
+		View: p.StoreView, Namings: EncodeNamings(p.Namings),
 	}
 }
 
 // Datagrams encodes a pulse, spread over several where it is large; group is set
 // where it is a whole group's.
-func (p News) Datagrams(sender string, group *keelv1.GroupNews) ([][]byte, error) {
+func (p Update) Datagrams(sender string, group *keelv1.GroupNews) ([][]byte, error) {
 	pack := newPacking(p.first(sender), func() *keelv1.Pulse { return &keelv1.Pulse{Sender: sender} })
 	if group != nil {
 		begin := func() *keelv1.Pulse {
@@ -90,7 +90,7 @@
 		}
 	}
 	pack.limits(p.Limits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.Limits = w })
-	pack.limits(p.Targets, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.TargetLimits = w })
+	pack.limits(p.TargetLimits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.TargetLimits = w })
 	for _, w := range EncodeSuspects(p.Suspects) {
 		pack.room(proto.Size(w))
 		pack.message.Suspects = append(pack.message.Suspects, w)
@@ -107,7 +107,7 @@
 		pack.room(proto.Size(w))
 		pack.message.Saves = append(pack.message.Saves, w)
 	}
-	for _, w := range EncodeWords(p.Engines) {
+	for _, w := range EncodeEngines(p.Engines) {
 		pack.room(proto.Size(w))
 		pack.message.Engines = append(pack.message.Engines, w)
 	}
@@ -130,9 +130,9 @@
 	}
 }
 
-// GroupLoads leaves out what has no figures of its own, as in a datagram of
+// DecodeGroupLoads leaves out what has no figures of its own, as in a datagram of
 // another shape.
-func GroupLoads(g *keelv1.GroupNews) []fleet.Occupancy {
+func DecodeGroupLoads(g *keelv1.GroupNews) []fleet.Occupancy {
 	n := min(len(g.Target), len(g.Born), len(g.Inflight), len(g.Long), len(g.PrefillTokens), len(g.Resumable), len(g.Held))
 	out := make([]fleet.Occupancy, 0, n)
 	for i := range n {
@@ -155,8 +155,8 @@
 	return out
 }
 
-// Loads decodes the load of targets.
-func Loads(all []*keelv1.TargetLoad) []fleet.Occupancy {
+// DecodeLoads decodes the load of targets.
+func DecodeLoads(all []*keelv1.TargetLoad) []fleet.Occupancy {
 	out := make([]fleet.Occupancy, 0, len(all))
 	for _, w := range all {
 		out = append(out, fleet.Occupancy{
@@ -195,8 +195,8 @@
 	return &fleet.ToldLimit{Limit: fleet.Limit{Named: w.Named, Rate: w.Rate}, Age: FromMicros(min(w.AgeUs, Micros(longestAge)))}
 }
 
-// Findings decodes what was learnt of targets.
-func Findings(all []*keelv1.TargetFinding) []fleet.Finding {
+// DecodeFindings decodes what was learnt of targets.
+func DecodeFindings(all []*keelv1.TargetFinding) []fleet.Finding {
 	out := make([]fleet.Finding, 0, len(all))
 	for _, w := range all {
 		found := fleet.Finding{
@@ -244,8 +244,8 @@
 	return out
 }
 
-// Caches decodes it.
-func Caches(all []*keelv1.CacheNews) []fleet.CacheNews {
+// DecodeCaches decodes it.
+func DecodeCaches(all []*keelv1.CacheNews) []fleet.CacheNews {
 	out := make([]fleet.CacheNews, 0, len(all))
 	for _, w := range all {
 		out = append(out, fleet.CacheNews{
@@ -264,8 +264,8 @@
 	return out
 }
 
-// Saves decodes the parts that go to stores.
-func Saves(all []*keelv1.StoreSaves) []fleet.Saves {
+// DecodeSaves decodes the parts that go to stores.
+func DecodeSaves(all []*keelv1.StoreSaves) []fleet.Saves {
 	out := make([]fleet.Saves, 0, len(all))
 	for _, w := range all {
 		out = append(out, fleet.Saves{Store: w.Store, Parts: w.PartHash})
@@ -273,8 +273,8 @@
 	return out
 }
 
-// EncodeWords encodes what was observed of engines.
-func EncodeWords(all []forecast.Word) []*keelv1.EngineWord {
+// EncodeEngines encodes what was observed of engines.
+func EncodeEngines(all []forecast.Word) []*keelv1.EngineWord {
 	out := make([]*keelv1.EngineWord, 0, len(all))
 	for _, word := range all {
 		w := &keelv1.EngineWord{
@@ -293,8 +293,8 @@
 	return out
 }
 
-// Words leaves out words of another shape, such as a later version's.
-func Words(all []*keelv1.EngineWord) []forecast.Word {
+// DecodeEngines leaves out words of another shape, such as a later version's.
+func DecodeEngines(all []*keelv1.EngineWord) []forecast.Word {
 	out := make([]forecast.Word, 0, len(all))
 	for _, w := range all {
 		word := forecast.Word{
@@ -326,9 +326,9 @@
 // PartBytes is about how many bytes a part takes: its hash and its tokens.
 const PartBytes = 11
 
-// Fit cuts suspects, findings, saves and news of caches, in this order, to what fits so many
+// TruncateTo cuts suspects, findings, saves and news of caches, in this order, to what fits so many
 // bytes, and returns about how many are used. Of each kind the newest stay.
-func (p *News) Fit(room int) (used int) {
+func (p *Update) TruncateTo(room int) (used int) {
 	p.Suspects = newest(p.Suspects, &used, room, func(r poison.Report) int { return 100 + 30*len(r.Ends) })
 	p.Findings = newest(p.Findings, &used, room, func(f fleet.Finding) int { return 60 + PartBytes*len(f.Parts) })
 	p.Saves = newest(p.Saves, &used, room, func(s fleet.Saves) int { return 24 + 8*len(s.Parts) })
--- a/rollout/office.go
+++ b/rollout/office.go
@@ -32,12 +32,12 @@
 	// seeking is set while a try to take it is under way.
 	seeking bool
 	// lost is when the seat was last lost, gone the fence under which it was held.
-	lost clock.Boot
+	lost clock.BootTime
 	gone int64
 	// foreign is the revision of an entry at the key that no holder wrote, found at
 	// foreignAt; 0 where there is none.
 	foreign   int64
-	foreignAt clock.Boot
+	foreignAt clock.BootTime
 }
 
 // NewLeaderLock returns the seat at key for the process that name names in this
@@ -57,7 +57,7 @@
 
 // Remaining implements Office.
 func (s *LeaderLock) Remaining() time.Duration {
-	return s.session.Left()
+	return s.session.Remaining()
 }
 
 // Observe notes what the store says of the key at a revision; an empty value is
--- a/rollout/office_test.go
+++ b/rollout/office_test.go
@@ -93,7 +93,7 @@
 	m := &memory{}
 	seat, session := newSeat(t, m, "a")
 	seat.TryAcquire(t.Context())
-	if err := session.End(t.Context()); err != nil {
+	if err := session.Close(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	seat.Observe("", m.revision+1)
