--- a/ctl/limits.go
+++ b/ctl/limits.go
@@ -57,15 +57,15 @@
 }
 
 func (a *app) printLimits(s quota.State) error {
-	fmt.Fprintf(a.out, "%d of %d entries hear each other; they share %.0f%% of each limit\n", s.Heard, s.Members, s.Part*100)
+	fmt.Fprintf(a.out, "%d of %d entries hear each other; they share %.0f%% of each limit\n", s.Reachable, s.Members, s.LimitFraction*100)
 	return a.table(func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "CUSTOMER\tUNIT\tRATE/S\tBURST\tLEFT\tASKED/S\tADMITTED HERE\tREFUSED HERE\tSTATE")
-		for _, u := range s.Uses {
+		for _, u := range s.Customers {
 			state := "within"
 			if u.Over {
 				state = "over"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%d\t%s\n", u.Customer, u.Unit, u.Rate, u.Burst, u.Left, u.AskedOfAll, u.Admitted, u.Refused, state)
+			fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%d\t%s\n", u.Customer, u.Unit, u.Rate, u.Burst, u.Remaining, u.TotalDemand, u.Admitted, u.Refused, state)
 		}
 	})
 }
--- a/ctl/verdicts.go
+++ b/ctl/verdicts.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		var ended []string
-		for _, life := range v.Ends {
+		for _, life := range v.Crashed {
 			ended = append(ended, life.ID)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", v.Content, v.Service, v.Customer, v.Request, strings.Join(ended, " "), verdictState(v, now))
@@ -75,7 +75,7 @@
 		ArgsUsage: "CONTENT",
 		Flags:     []cli.Flag{storeFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			content, err := poison.Parse(c.Args().First())
+			content, err := poison.ParseFingerprint(c.Args().First())
 			if err != nil {
 				return cli.Exit(fmt.Errorf("%w; keelctl verdicts lists them", err), ExitUsage)
 			}
--- a/entry/table.go
+++ b/entry/table.go
@@ -63,7 +63,7 @@
 }
 
 type opinion struct {
-	health   health.Target
+	health   health.Tracker
 	inflight int
 }
 
@@ -81,19 +81,19 @@
 func (o *opinions) failed(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.of(name).health.Failed(time.Now())
+	o.of(name).health.RecordFailure(time.Now())
 }
 
 func (o *opinions) succeeded(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.of(name).health.Succeeded()
+	o.of(name).health.RecordSuccess()
 }
 
 func (o *opinions) usable(name string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.of(name).health.Usable(time.Now())
+	return o.of(name).health.AllowRequest(time.Now())
 }
 
 func (o *opinions) penalty(name string) time.Duration {
--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -69,7 +69,7 @@
 	// takes.
 	Source  string
 	Fetched int
-	Moved   forecast.Moved
+	Moved   forecast.KVTransfer
 	// Long is set for requests that are expected to hold a slot for longer than a
 	// load of weights takes.
 	Long bool
@@ -126,7 +126,7 @@
 	}
 	q.long, q.light = f.long(q), f.light(q, now)
 	if q.long {
-		f.engine(q.Service).BroughtLong(now)
+		f.engine(q.Service).ObserveLongRun(now)
 	}
 	if q.long && !f.off[policy.Packing] {
 		if s := f.chooseDense(q, g, indices, now); s != nil {
@@ -154,7 +154,7 @@
 // usable reports whether a target may be asked. A dead one may now and then: then it has
 // to be, as the next time comes later.
 func (f *Fleet) usable(q Query, s *state, now time.Time) bool {
-	return f.fits(q, s, now) && (s.health.State(now) != health.Dead || s.health.Usable(now))
+	return f.fits(q, s, now) && (s.health.State(now) != health.Dead || s.health.AllowRequest(now))
 }
 
 // healthy reports whether a target may be asked that is not dead.
@@ -228,12 +228,12 @@
 	holdings := map[int64]holding{}
 	kept := f.keptLight(q, g, indices, now)
 	e := f.engine(q.Service)
-	heavy := e.Mix(now).HeavyReading()
+	heavy := e.OfferedLoad(now).MeanHeavyPrefill()
 	first := true
 	for i, at := range order {
 		s := g.states[at]
 		answers[i], fetches[i] = f.answer(q, s, chains, f.holding(holdings, q, g, order, s, chains, now), now)
-		reading := e.Reading(chain.Tokens-answers[i].CachedTokens, chain.Tokens, now)
+		reading := e.PrefillTime(chain.Tokens-answers[i].CachedTokens, chain.Tokens, now)
 		answers[i].PenaltySeconds += apart(q, kept, at, reading, heavy).Seconds()
 		if first && s.sum(now).Long == 0 && (len(kept) == 0 || kept[at] == q.light) {
 			// Every process sends a prefix to the first in its order that has no
@@ -252,10 +252,10 @@
 func (f *Fleet) expect(c *Choice, q Query, a placement.Estimate, tokens int, now time.Time) {
 	e := f.engine(q.Service)
 	c.Wait = time.Duration(a.WaitSeconds * float64(time.Second))
-	c.FirstToken = e.Fixed(now) + time.Duration(placement.TimeToFirstToken(a, tokens)*float64(time.Second))
-	c.Reading = e.Reading(max(0, tokens-a.CachedTokens), tokens, now)
-	c.Known = e.Known()
-	e.Brought(c.Reading, q.light, now)
+	c.FirstToken = e.BaseLatency(now) + time.Duration(placement.TimeToFirstToken(a, tokens)*float64(time.Second))
+	c.Reading = e.PrefillTime(max(0, tokens-a.CachedTokens), tokens, now)
+	c.Known = e.HasEnoughSamples()
+	e.ObserveArrival(c.Reading, q.light, now)
 }
 
 // holding returns where a prompt's parts under a runner's weights are, worked out
@@ -313,15 +313,15 @@
 		PenaltySeconds: s.health.Penalty(now).Seconds(),
 		NetworkSeconds: f.linkCost(s).Seconds(),
 	}
-	if from.moved.Runner == 0 {
+	if from.moved.FromRunner == 0 {
 		a.NetworkSeconds += f.farFetch(q, chain, s, cached).Seconds()
 	}
-	a.NetworkSeconds += displaced * e.Backlog(from.tokens, now).Seconds()
+	a.NetworkSeconds += displaced * e.BacklogTime(from.tokens, now).Seconds()
 	if missing := chain.Tokens - a.CachedTokens; missing > 0 {
-		a.PrefillRate = float64(missing) / e.Reading(missing, chain.Tokens, now).Seconds()
+		a.PrefillRate = float64(missing) / e.PrefillTime(missing, chain.Tokens, now).Seconds()
 	}
 	total := s.sum(now)
-	a.WaitSeconds = (e.Moving(from.moved, now) + e.Backlog(total.Prefill, now) + f.queueWait(s, now)).Seconds()
+	a.WaitSeconds = (e.TransferTime(from.moved, now) + e.BacklogTime(total.Prefill, now) + f.queueWait(s, now)).Seconds()
 	if f.named[q.Model].behindFor(weights, now) > oldWeightsGrace {
 		a.PenaltySeconds += oldWeightsCost.Seconds()
 	}
--- a/fleet/dense.go
+++ b/fleet/dense.go
@@ -85,7 +85,7 @@
 // that one is sent to: as many as come unseen, or one of each process, before it is
 // known how many come.
 func (f *Fleet) roomNeeded(q Query, now time.Time) float64 {
-	unseen := f.engine(q.Service).Mix(now).Longs * f.unseenFor().Seconds()
+	unseen := f.engine(q.Service).OfferedLoad(now).LongRate * f.unseenFor().Seconds()
 	return max(float64(f.members.count()), 1+unseenSpread*unseen)
 }
 
--- a/fleet/engines.go
+++ b/fleet/engines.go
@@ -7,7 +7,7 @@
 )
 
 // engine returns what is known of a service's engines; the caller holds mu.
-func (f *Fleet) engine(service string) *forecast.Engine {
+func (f *Fleet) engine(service string) *forecast.Estimator {
 	e := f.engines[service]
 	if e == nil {
 		e = forecast.New()
@@ -21,8 +21,8 @@
 // service for more time than the load itself.
 func (f *Fleet) long(q Query) bool {
 	e := f.engine(q.Service)
-	held, seen := e.Hold(q.Output)
-	return seen && held > e.Loads.Load()
+	held, seen := e.ExpectedSlotHold(q.Output)
+	return seen && held > e.WeightLoads.LoadDuration()
 }
 
 // decodeShare is the part of a runner's time that must be left to decoding where
@@ -35,8 +35,8 @@
 // for answers of 30 would take a packed runner thirty times the time that it has.
 func (f *Fleet) packable(q Query, room float64, now time.Time) bool {
 	e := f.engine(q.Service)
-	held, _ := e.Hold(q.Output)
-	reading := room * e.Reading(q.Input, q.Input, now).Seconds()
+	held, _ := e.ExpectedSlotHold(q.Output)
+	reading := room * e.PrefillTime(q.Input, q.Input, now).Seconds()
 	return reading < (1-decodeShare)*held.Seconds()
 }
 
@@ -45,44 +45,44 @@
 func (f *Fleet) WeightsLoaded(service string, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.engine(service).Loads.Loaded(took)
+	f.engine(service).WeightLoads.Observe(took)
 }
 
 // Loads returns what is known of a service's loads of weights.
-func (f *Fleet) Loads(service string) forecast.Loads {
+func (f *Fleet) Loads(service string) forecast.WeightLoads {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.engine(service).Loads
+	return f.engine(service).WeightLoads
 }
 
 // Figures returns what was learnt of the engines of the services that run models.
-func (f *Fleet) Figures(now time.Time) map[string]forecast.Figures {
+func (f *Fleet) Figures(now time.Time) map[string]forecast.Coefficients {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := map[string]forecast.Figures{}
+	out := map[string]forecast.Coefficients{}
 	for service, e := range f.engines {
-		if e.Known() {
-			out[service] = e.Figures(now)
+		if e.HasEnoughSamples() {
+			out[service] = e.Coefficients(now)
 		}
 	}
 	return out
 }
 
 // Words returns what this process observed of engines, to be told to the others.
-func (f *Fleet) Words(now time.Time) []forecast.Word {
-	return f.wordsBy((*forecast.Engine).Word, now)
+func (f *Fleet) Words(now time.Time) []forecast.Report {
+	return f.wordsBy((*forecast.Estimator).Report, now)
 }
 
 // GroupWords returns what this process and those of its group observed of engines,
 // for the other groups.
-func (f *Fleet) GroupWords(now time.Time) []forecast.Word {
-	return f.wordsBy((*forecast.Engine).GroupWord, now)
+func (f *Fleet) GroupWords(now time.Time) []forecast.Report {
+	return f.wordsBy((*forecast.Estimator).GroupReport, now)
 }
 
-func (f *Fleet) wordsBy(word func(*forecast.Engine, string, time.Time) (forecast.Word, bool), now time.Time) []forecast.Word {
+func (f *Fleet) wordsBy(word func(*forecast.Estimator, string, time.Time) (forecast.Report, bool), now time.Time) []forecast.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []forecast.Word
+	var out []forecast.Report
 	for service, e := range f.engines {
 		if w, ok := word(e, service, now); ok {
 			out = append(out, w)
@@ -92,19 +92,19 @@
 }
 
 // HeardWords takes what another process observed of engines.
-func (f *Fleet) HeardWords(sender string, all []forecast.Word, now time.Time) {
+func (f *Fleet) HeardWords(sender string, all []forecast.Report, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, w := range all {
-		f.engine(w.Service).Heard(sender, w, now)
+		f.engine(w.Service).ApplyReport(sender, w, now)
 	}
 }
 
 // HeardGroupWords takes what another group observed of engines.
-func (f *Fleet) HeardGroupWords(group int, all []forecast.Word, now time.Time) {
+func (f *Fleet) HeardGroupWords(group int, all []forecast.Report, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, w := range all {
-		f.engine(w.Service).HeardGroup(group, w, now)
+		f.engine(w.Service).ApplyGroupReport(group, w, now)
 	}
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -17,7 +17,7 @@
 type state struct {
 	runner Runner
 	placed placement.Runner
-	health health.Target
+	health health.Tracker
 	// weights are the versions that it said to have, or that somebody saw there;
 	// guessed are higher ones that it is likely to have, until something is known.
 	weights map[string]int64
@@ -82,7 +82,7 @@
 	addressed map[string]*state
 	named     map[string]*history
 	// engines are what was learnt of each service's.
-	engines map[string]*forecast.Engine
+	engines map[string]*forecast.Estimator
 	members members
 	zone    string
 	off     policy.Disabled
@@ -98,7 +98,7 @@
 	ended func(Life)
 	// rates keeps the limits that targets name, of which relimit says that they changed;
 	// nil keeps none.
-	rates   *quota.Book
+	rates   *quota.Limiter
 	relimit bool
 	// left are lives that said that they leave, by their targets' ids.
 	left map[string]left
@@ -120,7 +120,7 @@
 		stores:    map[string]*keptStore{},
 		addressed: map[string]*state{},
 		named:     map[string]*history{},
-		engines:   map[string]*forecast.Engine{},
+		engines:   map[string]*forecast.Estimator{},
 		tellers:   map[string]*teller{},
 		left:      map[string]left{},
 		kept:      map[string]keptWords{},
@@ -339,7 +339,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.about(l); s != nil && !now.Before(s.busyUntil) {
-		s.health.Failed(now)
+		s.health.RecordFailure(now)
 	}
 }
 
@@ -348,7 +348,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.about(l); s != nil {
-		s.health.Unreachable(now)
+		s.health.RecordConnectFailure(now)
 	}
 }
 
@@ -365,7 +365,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.about(l); s != nil {
-		s.health.Succeeded()
+		s.health.RecordSuccess()
 	}
 }
 
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -142,7 +142,7 @@
 	for i := range 200 {
 		tokens := 200 + 100*(i%40)
 		read := f.Begin(Life{ID: "a"}, Stay{Missing: tokens, Prompt: tokens}, now)
-		moved := f.Begin(Life{ID: "a"}, Stay{Missing: 300, Prompt: 6300, Moved: forecast.Moved{Store: 6000}}, now)
+		moved := f.Begin(Life{ID: "a"}, Stay{Missing: 300, Prompt: 6300, Moved: forecast.KVTransfer{FromStore: 6000}}, now)
 		read.First(now.Add(50*time.Millisecond + time.Duration(tokens)*20*time.Microsecond))
 		moved.First(now.Add(2 * time.Second))
 		read.End()
--- a/fleet/light.go
+++ b/fleet/light.go
@@ -21,7 +21,7 @@
 // light reports whether a request takes little to read, however little of it is
 // cached.
 func (f *Fleet) light(q Query, now time.Time) bool {
-	whole := f.engine(q.Service).Reading(q.Input, q.Input, now)
+	whole := f.engine(q.Service).PrefillTime(q.Input, q.Input, now)
 	return q.Objective > 0 && whole.Seconds() < LightReading*q.Objective.Seconds()
 }
 
@@ -36,7 +36,7 @@
 	if f.off[policy.ReserveForLight] {
 		return nil
 	}
-	mix := f.engine(q.Service).Mix(now)
+	mix := f.engine(q.Service).OfferedLoad(now)
 	need := int(math.Ceil(mix.Light / lightBusy))
 	if need == 0 || mix.Heavy <= mix.Light || 2*need > len(indices) {
 		return nil
--- a/fleet/limit.go
+++ b/fleet/limit.go
@@ -54,11 +54,11 @@
 
 // TargetBounds are what targets that name limits put up with beyond these: half as much
 // again in four seconds, and five requests.
-var TargetBounds = quota.Bounds{Window: 4 * time.Second, Overrun: 0.5, Slack: 5 * requestUnits}
+var TargetBounds = quota.Tolerance{Window: 4 * time.Second, Overrun: 0.5, Slack: 5 * requestUnits}
 
 // KeepLimits has the limits that targets name be kept by b, before the view is used.
 // What is random in it is drawn from r.
-func (f *Fleet) KeepLimits(b *quota.Book, r *rand.Rand) {
+func (f *Fleet) KeepLimits(b *quota.Limiter, r *rand.Rand) {
 	b.Stagger(requestUnits, r)
 	f.rates = b
 }
@@ -118,7 +118,7 @@
 // open reports whether a target's limit has room for one more request, which counts as
 // asked of it.
 func (f *Fleet) open(s *state, now time.Time) bool {
-	return !f.keepsLimit(s, now) || f.rates.Open(s.runner.ID, oneRequest, now)
+	return !f.keepsLimit(s, now) || f.rates.CanAdmit(s.runner.ID, oneRequest, now)
 }
 
 // takeLimit counts a request against its target's limit.
@@ -127,7 +127,7 @@
 	if !f.keepsLimit(s, now) {
 		return nil
 	}
-	return f.rates.Take(s.runner.ID, oneRequest, now)
+	return f.rates.Consume(s.runner.ID, oneRequest, now)
 }
 
 // Limit returns the limit that a target names.
--- a/fleet/limit_model_test.go
+++ b/fleet/limit_model_test.go
@@ -30,7 +30,7 @@
 
 type limitHost struct {
 	fleet *Fleet
-	book  *quota.Book
+	book  *quota.Limiter
 	next  time.Duration
 	// told is when each target first told it its limit.
 	told map[string]time.Duration
@@ -53,7 +53,7 @@
 		m.targets = append(m.targets, fmt.Sprintf("t%d", i))
 	}
 	for range n {
-		h := &limitHost{fleet: New("z1"), book: quota.NewBook(TargetBounds, nil, func() bool { return true }, noon.Add(-time.Minute)), told: map[string]time.Duration{}}
+		h := &limitHost{fleet: New("z1"), book: quota.NewLimiter(TargetBounds, nil, func() bool { return true }, noon.Add(-time.Minute)), told: map[string]time.Duration{}}
 		h.next = time.Duration(m.rand.Int64N(int64(pulse)))
 		h.book.SetMembers(n)
 		h.fleet.KeepLimits(h.book, m.rand)
@@ -95,13 +95,13 @@
 
 // tell has the others hear what a process met and sent.
 func (m *limitModel) tell(i int, h *limitHost) {
-	findings, words := h.fleet.Findings(m.at()), h.book.Words(m.at())
+	findings, words := h.fleet.Findings(m.at()), h.book.PeerUpdate(m.at())
 	words.Sender = fmt.Sprint(i)
 	for _, to := range m.hosts {
 		if to != h {
 			m.post(m.late/2+time.Duration(m.rand.Int64N(int64(m.late))), func() {
 				to.fleet.HeardFindings(findings, m.at())
-				to.book.Heard(words, m.at())
+				to.book.ApplyPeerUpdate(words, m.at())
 			})
 		}
 	}
--- a/fleet/limit_test.go
+++ b/fleet/limit_test.go
@@ -13,7 +13,7 @@
 // limitedFleet is a view of two targets that keeps limits.
 func limitedFleet() (*Fleet, Life) {
 	f := New("z1")
-	book := quota.NewBook(TargetBounds, nil, func() bool { return true }, noon.Add(-time.Minute))
+	book := quota.NewLimiter(TargetBounds, nil, func() bool { return true }, noon.Add(-time.Minute))
 	f.KeepLimits(book, rand.New(rand.NewPCG(1, 1)))
 	for _, id := range []string{"a", "b"} {
 		f.Put(Runner{ID: id, Born: 1, Service: "desk", Address: id + ":1", Zone: "z1", Slots: 4})
--- a/fleet/occupancy.go
+++ b/fleet/occupancy.go
@@ -180,7 +180,7 @@
 	if q.Capacity <= 0 || over <= 0 || load.Held <= 0 || f.off[policy.MemoryBackpressure] {
 		return 0
 	}
-	return time.Duration(float64(over) / float64(load.Held) * float64(f.engine(q.Service).HeldFor()))
+	return time.Duration(float64(over) / float64(load.Held) * float64(f.engine(q.Service).MeanMemoryHold()))
 }
 
 // memoryShare is the part of a target's memory that long runs may fill where they are
--- a/fleet/rest.go
+++ b/fleet/rest.go
@@ -101,7 +101,7 @@
 		return Wait{}, false
 	}
 	if f.keepsLimit(first, now) {
-		f.rates.Promise(first.runner.ID, oneRequest, now)
+		f.rates.ReserveRetry(first.runner.ID, oneRequest, now)
 	}
 	return least, true
 }
@@ -110,7 +110,7 @@
 func (f *Fleet) heldBack(s *state, now time.Time) Wait {
 	w := Wait{For: s.rest.left(now), Rest: true}
 	if f.keepsLimit(s, now) {
-		if limit := f.rates.Wait(s.runner.ID, oneRequest, now); limit > w.For {
+		if limit := f.rates.RetryAfter(s.runner.ID, oneRequest, now); limit > w.For {
 			w = Wait{For: limit}
 		}
 	}
--- a/fleet/sources.go
+++ b/fleet/sources.go
@@ -58,7 +58,7 @@
 	source string
 	// tokens is how many more the source holds than the runner.
 	tokens int
-	moved  forecast.Moved
+	moved  forecast.KVTransfer
 }
 
 // zoneFactor is how many times as long a transfer between zones takes as one
@@ -67,14 +67,14 @@
 
 // bestFetch returns the transfer that leaves a runner with the least to wait for,
 // or none: reading a token takes an engine read, and moving it what was learnt.
-func (f *Fleet) bestFetch(h holding, e *forecast.Engine, s *state, cached, prompt int, now time.Time) fetch {
-	best, cost := fetch{}, e.Reading(prompt-cached, prompt, now)
+func (f *Fleet) bestFetch(h holding, e *forecast.Estimator, s *state, cached, prompt int, now time.Time) fetch {
+	best, cost := fetch{}, e.PrefillTime(prompt-cached, prompt, now)
 	try := func(c fetch) {
 		c.tokens -= cached
 		if c.tokens < movedLeast {
 			return
 		}
-		all := e.Moving(c.moved, now) + e.Reading(prompt-cached-c.tokens, prompt, now)
+		all := e.TransferTime(c.moved, now) + e.PrefillTime(prompt-cached-c.tokens, prompt, now)
 		if all < cost {
 			best, cost = c, all
 		}
@@ -82,11 +82,11 @@
 	for _, r := range h.runners {
 		if r.state != s {
 			moved := (r.tokens - cached) * factor(r.state.runner.Zone, s.runner.Zone)
-			try(fetch{r.state.runner.Address, r.tokens, forecast.Moved{Runner: moved}})
+			try(fetch{r.state.runner.Address, r.tokens, forecast.KVTransfer{FromRunner: moved}})
 		}
 	}
 	if h.store != "" {
-		try(fetch{h.store, h.stored, forecast.Moved{Store: (h.stored - cached) * factor(h.zone, s.runner.Zone)}})
+		try(fetch{h.store, h.stored, forecast.KVTransfer{FromStore: (h.stored - cached) * factor(h.zone, s.runner.Zone)}})
 	}
 	return best
 }
--- a/fleet/ticket.go
+++ b/fleet/ticket.go
@@ -31,7 +31,7 @@
 	Missing int
 	Prompt  int
 	// Moved is what a source is to send there first.
-	Moved forecast.Moved
+	Moved forecast.KVTransfer
 	// Output is the most tokens that may be generated.
 	Output int
 	Chain  prefix.Chain
@@ -81,13 +81,13 @@
 	t.firstAt = now
 	t.read()
 	if t.stay.Prompt > 0 && !t.fleet.off[policy.Learning] {
-		reading := forecast.Reading{Missing: t.stay.Missing, Prompt: t.stay.Prompt, Ahead: t.ahead, Moved: t.stay.Moved, Took: now.Sub(t.began)}
-		t.fleet.engine(t.state.runner.Service).Read(reading, now)
+		reading := forecast.PrefillSample{UncachedTokens: t.stay.Missing, PromptTokens: t.stay.Prompt, QueuedTokens: t.ahead, Transferred: t.stay.Moved, TimeToFirstToken: now.Sub(t.began)}
+		t.fleet.engine(t.state.runner.Service).ObservePrefill(reading, now)
 	}
 }
 
 // Unsent notes that nothing of the request reached its target.
-func (t *Ticket) Unsent() { t.charge.Ran(0) }
+func (t *Ticket) Unsent() { t.charge.SetExecutions(0) }
 
 // Complete notes that the answer ended whole.
 func (t *Ticket) Complete(now time.Time) {
@@ -95,8 +95,8 @@
 	defer t.fleet.mu.Unlock()
 	if t.state != nil && !t.firstAt.IsZero() {
 		e := t.fleet.engine(t.state.runner.Service)
-		e.Ran(t.stay.Output, now.Sub(t.firstAt), now)
-		e.Held(t.stay.Held, now.Sub(t.began), now)
+		e.ObserveRun(t.stay.Output, now.Sub(t.firstAt), now)
+		e.ObserveMemoryHold(t.stay.Held, now.Sub(t.began), now)
 	}
 }
 
--- a/fleet/unseen.go
+++ b/fleet/unseen.go
@@ -61,7 +61,7 @@
 	if f.off[policy.CandidateSampling] {
 		return askedMost
 	}
-	unseen := f.engine(q.Service).Mix(now).Heavies * f.unseenFor().Seconds()
+	unseen := f.engine(q.Service).OfferedLoad(now).HeavyRate * f.unseenFor().Seconds()
 	if unseen <= 0 {
 		return askedMost
 	}
--- a/forecast/engine.go
+++ b/forecast/engine.go
@@ -20,44 +20,44 @@
 // and the few long prompts of a fleet still add up.
 const memory = 4 * time.Second
 
-// Reading is one request's way to its first token.
-type Reading struct {
-	// Missing is how many of its prompt's tokens were to be read there, Prompt
+// PrefillSample is one request's way to its first token.
+type PrefillSample struct {
+	// UncachedTokens is how many of its prompt's tokens were to be read there, Prompt
 	// how many it has in all.
-	Missing int
-	Prompt  int
-	// Ahead is how many tokens of other prompts were to be read before.
-	Ahead int
-	// Moved is what was to be moved there before.
-	Moved Moved
-	// Took is the time from sending it to its first token.
-	Took time.Duration
+	UncachedTokens int
+	PromptTokens   int
+	// QueuedTokens is how many tokens of other prompts were to be read before.
+	QueuedTokens int
+	// Transferred is what was to be moved there before.
+	Transferred KVTransfer
+	// TimeToFirstToken is the time from sending it to its first token.
+	TimeToFirstToken time.Duration
 }
 
-// Moved is how many tokens are moved to a runner from another one or from a store
+// KVTransfer is how many tokens are moved to a runner from another one or from a store
 // of kept parts, each as often as its way takes longer than within one zone.
-type Moved struct {
-	Runner int
-	Store  int
+type KVTransfer struct {
+	FromRunner int
+	FromStore  int
 }
 
-// Figures are what is known of a service's engines, in seconds.
-type Figures struct {
-	// Fixed is the time to the first token of a prompt that needs no reading.
-	Fixed float64
-	// Token is the time to read a thousand tokens, Pairs that by which a million
+// Coefficients are what is known of a service's engines, in seconds.
+type Coefficients struct {
+	// Base is the time to the first token of a prompt that needs no reading.
+	Base float64
+	// PerKiloToken is the time to read a thousand tokens, Pairs that by which a million
 	// pairs of tokens, of which each attends to the other, prolongs it.
-	Token float64
-	Pairs float64
-	// Runner and Store are the times to move a thousand tokens to a runner from
+	PerKiloToken float64
+	PerMegaPair  float64
+	// RunnerTransfer and Store are the times to move a thousand tokens to a runner from
 	// another one or from a store, with what waits there.
-	Runner float64
-	Store  float64
+	RunnerTransfer float64
+	StoreTransfer  float64
 }
 
 // guess is taken until something was observed: the order of the engines of
 // today. Nobody is refused by it (Engine.Known).
-var guess = Figures{Fixed: 0.05, Token: 0.016, Runner: 0.001, Store: 0.004}
+var guess = Coefficients{Base: 0.05, PerKiloToken: 0.016, RunnerTransfer: 0.001, StoreTransfer: 0.004}
 
 // Bounds of a fit.
 const (
@@ -77,8 +77,8 @@
 	leastMoved = 0.00002
 )
 
-// Engine is what is known of one service's engines; New returns one.
-type Engine struct {
+// Estimator is what is known of one service's engines; New returns one.
+type Estimator struct {
 	own    Sums
 	others map[string]heard
 	fitted [terms]float64
@@ -86,38 +86,38 @@
 	seen   time.Time
 	// runs is the time that runs held their slots after their first token, by the
 	// tokens that they were allowed to generate.
-	runs Ratio
+	runs TimePerToken
 	// held is the time that runs held their memory, each token of it counted.
-	held Ratio
+	held TimePerToken
 	// mix is the reading that this process brings, as of mixed, and begun when it
 	// brought some first.
-	mix   Mix
+	mix   OfferedLoad
 	mixed time.Time
 	begun time.Time
-	// Loads is what is known of loads of weights.
-	Loads Loads
+	// WeightLoads is what is known of loads of weights.
+	WeightLoads WeightLoads
 }
 
 // heard is the sums of another process, or of a group of them.
 type heard struct {
 	sums  Sums
-	runs  Ratio
-	mix   Mix
+	runs  TimePerToken
+	mix   OfferedLoad
 	at    time.Time
 	group bool
 }
 
 // New returns an engine of which nothing is known.
-func New() *Engine {
-	return &Engine{others: map[string]heard{}, fitted: guess.vector()}
+func New() *Estimator {
+	return &Estimator{others: map[string]heard{}, fitted: guess.vector()}
 }
 
-func (f Figures) vector() [terms]float64 {
-	return [terms]float64{f.Fixed, f.Token, f.Pairs, f.Runner, f.Store}
+func (f Coefficients) vector() [terms]float64 {
+	return [terms]float64{f.Base, f.PerKiloToken, f.PerMegaPair, f.RunnerTransfer, f.StoreTransfer}
 }
 
-func (r Reading) features() [terms]float64 {
-	return [terms]float64{1, float64(r.Missing+r.Ahead) / 1e3, pairs(r.Missing, r.Prompt), float64(r.Moved.Runner) / 1e3, float64(r.Moved.Store) / 1e3}
+func (r PrefillSample) features() [terms]float64 {
+	return [terms]float64{1, float64(r.UncachedTokens+r.QueuedTokens) / 1e3, pairs(r.UncachedTokens, r.PromptTokens), float64(r.Transferred.FromRunner) / 1e3, float64(r.Transferred.FromStore) / 1e3}
 }
 
 // pairs returns how many millions of pairs of tokens reading the last missing
@@ -141,14 +141,14 @@
 	shortest = 0.03
 )
 
-// Read takes one request's way to its first token.
-func (e *Engine) Read(r Reading, now time.Time) {
-	if r.Took <= 0 || float64(r.Ahead) > waitedMost*float64(r.Missing+r.Moved.Runner+r.Moved.Store) {
+// ObservePrefill takes one request's way to its first token.
+func (e *Estimator) ObservePrefill(r PrefillSample, now time.Time) {
+	if r.TimeToFirstToken <= 0 || float64(r.QueuedTokens) > waitedMost*float64(r.UncachedTokens+r.Transferred.FromRunner+r.Transferred.FromStore) {
 		return
 	}
 	features := r.features()
 	expected := dot(e.current(now), features)
-	observed := r.Took.Seconds()
+	observed := r.TimeToFirstToken.Seconds()
 	weight := 1 / ((expected + shortest) * (expected + shortest))
 	off := observed / max(expected, shortest)
 	if off > farOff {
@@ -171,7 +171,7 @@
 }
 
 // age makes what was observed before count less.
-func (e *Engine) age(now time.Time) {
+func (e *Estimator) age(now time.Time) {
 	share := fadeShare(now.Sub(e.seen))
 	if e.seen.IsZero() {
 		share = 1
@@ -183,7 +183,7 @@
 }
 
 // current returns the figures fitted to all that was observed and heard.
-func (e *Engine) current(now time.Time) [terms]float64 {
+func (e *Estimator) current(now time.Time) [terms]float64 {
 	if !e.stale {
 		return e.fitted
 	}
@@ -202,18 +202,18 @@
 	return e.fitted
 }
 
-// Figures returns what is known.
-func (e *Engine) Figures(now time.Time) Figures {
+// Coefficients returns what is known.
+func (e *Estimator) Coefficients(now time.Time) Coefficients {
 	f := e.current(now)
-	return Figures{Fixed: f[0], Token: f[1], Pairs: f[2], Runner: f[3], Store: f[4]}
+	return Coefficients{Base: f[0], PerKiloToken: f[1], PerMegaPair: f[2], RunnerTransfer: f[3], StoreTransfer: f[4]}
 }
 
 // knownFrom is from how many observations on somebody may be refused by what
 // they say.
 const knownFrom = 20
 
-// Known reports whether enough was observed for a request to be refused by it.
-func (e *Engine) Known() bool {
+// HasEnoughSamples reports whether enough was observed for a request to be refused by it.
+func (e *Estimator) HasEnoughSamples() bool {
 	weight := e.own.Weight
 	for _, h := range e.others {
 		weight += h.sums.Weight
@@ -221,26 +221,26 @@
 	return weight >= knownFrom
 }
 
-// Fixed returns the time to the first token of a prompt that needs no reading.
-func (e *Engine) Fixed(now time.Time) time.Duration {
+// BaseLatency returns the time to the first token of a prompt that needs no reading.
+func (e *Estimator) BaseLatency(now time.Time) time.Duration {
 	return seconds(e.current(now)[0])
 }
 
-// Reading returns the time that reading the last missing of a prompt's tokens
+// PrefillTime returns the time that reading the last missing of a prompt's tokens
 // takes an engine that has nothing else to read.
-func (e *Engine) Reading(missing, prompt int, now time.Time) time.Duration {
+func (e *Estimator) PrefillTime(missing, prompt int, now time.Time) time.Duration {
 	f := e.current(now)
 	return seconds(f[1]*float64(missing)/1e3 + f[2]*pairs(missing, prompt))
 }
 
-// Moving returns the time that moving parts of a prompt takes.
-func (e *Engine) Moving(m Moved, now time.Time) time.Duration {
+// TransferTime returns the time that moving parts of a prompt takes.
+func (e *Estimator) TransferTime(m KVTransfer, now time.Time) time.Duration {
 	f := e.current(now)
-	return seconds((f[3]*float64(m.Runner) + f[4]*float64(m.Store)) / 1e3)
+	return seconds((f[3]*float64(m.FromRunner) + f[4]*float64(m.FromStore)) / 1e3)
 }
 
-// Backlog returns the time that reading tokens of several prompts takes.
-func (e *Engine) Backlog(tokens int, now time.Time) time.Duration {
+// BacklogTime returns the time that reading tokens of several prompts takes.
+func (e *Estimator) BacklogTime(tokens int, now time.Time) time.Duration {
 	return seconds(e.current(now)[1] * float64(tokens) / 1e3)
 }
 
@@ -248,9 +248,9 @@
 	return time.Duration(math.Max(0, s) * float64(time.Second))
 }
 
-// Ran takes how long a run that was allowed to generate tokens held its slot
+// ObserveRun takes how long a run that was allowed to generate tokens held its slot
 // after its first token.
-func (e *Engine) Ran(allowed int, held time.Duration, now time.Time) {
+func (e *Estimator) ObserveRun(allowed int, held time.Duration, now time.Time) {
 	if allowed <= 0 || held < 0 {
 		return
 	}
@@ -259,8 +259,8 @@
 	e.runs.Tokens += float64(allowed)
 }
 
-// Held takes for how long a run held so many tokens of its target's memory.
-func (e *Engine) Held(tokens int, held time.Duration, now time.Time) {
+// ObserveMemoryHold takes for how long a run held so many tokens of its target's memory.
+func (e *Estimator) ObserveMemoryHold(tokens int, held time.Duration, now time.Time) {
 	if tokens <= 0 || held < 0 {
 		return
 	}
@@ -272,33 +272,33 @@
 // guessHeld is how long memory is taken to be held before a run was seen.
 const guessHeld = 500 * time.Millisecond
 
-// HeldFor returns for how long a token of memory is held by a run in the mean.
-func (e *Engine) HeldFor() time.Duration {
+// MeanMemoryHold returns for how long a token of memory is held by a run in the mean.
+func (e *Estimator) MeanMemoryHold() time.Duration {
 	if e.held.Tokens <= 0 {
 		return guessHeld
 	}
 	return seconds(e.held.Seconds / e.held.Tokens)
 }
 
-// Ratio is a time by the tokens that it was for.
-type Ratio struct {
+// TimePerToken is a time by the tokens that it was for.
+type TimePerToken struct {
 	Seconds float64
 	Tokens  float64
 }
 
-func (r *Ratio) add(other Ratio) {
+func (r *TimePerToken) add(other TimePerToken) {
 	r.Seconds += other.Seconds
 	r.Tokens += other.Tokens
 }
 
-func (r *Ratio) fade(share float64) {
+func (r *TimePerToken) fade(share float64) {
 	r.Seconds *= share
 	r.Tokens *= share
 }
 
-// Hold returns the time for which a run that may generate tokens is expected to
+// ExpectedSlotHold returns the time for which a run that may generate tokens is expected to
 // hold its slot after its first token; ok is false where no run was seen yet.
-func (e *Engine) Hold(allowed int) (held time.Duration, ok bool) {
+func (e *Estimator) ExpectedSlotHold(allowed int) (held time.Duration, ok bool) {
 	all := e.runs
 	for _, h := range e.others {
 		all.add(h.runs)
--- a/forecast/engine_test.go
+++ b/forecast/engine_test.go
@@ -15,32 +15,32 @@
 	fixed, token, pairs float64
 }
 
-func (m truth) took(r Reading) time.Duration {
+func (m truth) took(r PrefillSample) time.Duration {
 	f := r.features()
 	return seconds(m.fixed + m.token*f[1] + m.pairs*f[2])
 }
 
 // observe lets an engine meet n prompts a few milliseconds apart, of 100 to
 // 40,000 tokens, with noise of a tenth.
-func observe(e *Engine, m truth, n int, from time.Time, random *rand.Rand) time.Time {
+func observe(e *Estimator, m truth, n int, from time.Time, random *rand.Rand) time.Time {
 	for range n {
-		r := Reading{Missing: 100 + random.IntN(300)}
+		r := PrefillSample{UncachedTokens: 100 + random.IntN(300)}
 		if random.IntN(3) == 0 {
-			r.Missing = 3000 + random.IntN(37000)
+			r.UncachedTokens = 3000 + random.IntN(37000)
 		}
-		r.Prompt = r.Missing + random.IntN(15000)
-		r.Took = time.Duration(float64(m.took(r)) * (0.9 + 0.2*random.Float64()))
-		e.Read(r, from)
+		r.PromptTokens = r.UncachedTokens + random.IntN(15000)
+		r.TimeToFirstToken = time.Duration(float64(m.took(r)) * (0.9 + 0.2*random.Float64()))
+		e.ObservePrefill(r, from)
 		from = from.Add(20 * time.Millisecond)
 	}
 	return from
 }
 
-func closeTo(t *testing.T, e *Engine, m truth, at time.Time, within float64) {
+func closeTo(t *testing.T, e *Estimator, m truth, at time.Time, within float64) {
 	t.Helper()
-	for _, r := range []Reading{{Missing: 300, Prompt: 300}, {Missing: 4000, Prompt: 17000}, {Missing: 17000, Prompt: 17000}, {Missing: 40000, Prompt: 40000}} {
+	for _, r := range []PrefillSample{{UncachedTokens: 300, PromptTokens: 300}, {UncachedTokens: 4000, PromptTokens: 17000}, {UncachedTokens: 17000, PromptTokens: 17000}, {UncachedTokens: 40000, PromptTokens: 40000}} {
 		want := m.took(r).Seconds()
-		got := (e.Fixed(at) + e.Reading(r.Missing, r.Prompt, at)).Seconds()
+		got := (e.BaseLatency(at) + e.PrefillTime(r.UncachedTokens, r.PromptTokens, at)).Seconds()
 		if got < want*(1-within) || got > want*(1+within) {
 			t.Errorf("%+v: %.3f s expected, %.3f s is right", r, got, want)
 		}
@@ -87,9 +87,9 @@
 	m := truth{0.09, 0.02, 0.0004}
 	at := observe(e, m, 300, start, random)
 	for range 500 {
-		r := Reading{Missing: 4000, Prompt: 17000, Ahead: 8000 + random.IntN(50000)}
-		r.Took = 4 * m.took(r)
-		e.Read(r, at)
+		r := PrefillSample{UncachedTokens: 4000, PromptTokens: 17000, QueuedTokens: 8000 + random.IntN(50000)}
+		r.TimeToFirstToken = 4 * m.took(r)
+		e.ObservePrefill(r, at)
 		at = at.Add(10 * time.Millisecond)
 	}
 	closeTo(t, e, m, at, 0.2)
@@ -104,10 +104,10 @@
 	at := start
 	for range 60 {
 		at = observe(e, m, 18, at, random)
-		stuck := Reading{Missing: 15000, Prompt: 15000, Took: 4 * time.Second}
-		cached := Reading{Missing: 15000, Prompt: 15000, Took: 95 * time.Millisecond}
-		e.Read(stuck, at)
-		e.Read(cached, at)
+		stuck := PrefillSample{UncachedTokens: 15000, PromptTokens: 15000, TimeToFirstToken: 4 * time.Second}
+		cached := PrefillSample{UncachedTokens: 15000, PromptTokens: 15000, TimeToFirstToken: 95 * time.Millisecond}
+		e.ObservePrefill(stuck, at)
+		e.ObservePrefill(cached, at)
 	}
 	closeTo(t, e, m, at, 0.25)
 }
@@ -119,24 +119,24 @@
 	m := truth{0.09, 0.02, 0.0004}
 	old, fresh := New(), New()
 	at := observe(old, m, 300, start, random)
-	old.Ran(480, time.Second, at)
-	old.Loads.Loaded(2 * time.Second)
-	if fresh.Known() {
+	old.ObserveRun(480, time.Second, at)
+	old.WeightLoads.Observe(2 * time.Second)
+	if fresh.HasEnoughSamples() {
 		t.Error("an engine of which nothing was seen counts as known")
 	}
 	for range 5 {
-		w, ok := old.Word("lm", at)
+		w, ok := old.Report("lm", at)
 		if !ok {
 			t.Fatal("nothing to tell")
 		}
-		fresh.Heard("old/1", w, at)
+		fresh.ApplyReport("old/1", w, at)
 	}
 	closeTo(t, fresh, m, at, 0.2)
-	if held, ok := fresh.Hold(480); !ok || held < 900*time.Millisecond || held > 1100*time.Millisecond {
+	if held, ok := fresh.ExpectedSlotHold(480); !ok || held < 900*time.Millisecond || held > 1100*time.Millisecond {
 		t.Errorf("a run is expected to take %v", held)
 	}
-	if !fresh.Known() || fresh.Loads.Load() != 2*time.Second {
-		t.Errorf("known %v, a load takes %v", fresh.Known(), fresh.Loads.Load())
+	if !fresh.HasEnoughSamples() || fresh.WeightLoads.LoadDuration() != 2*time.Second {
+		t.Errorf("known %v, a load takes %v", fresh.HasEnoughSamples(), fresh.WeightLoads.LoadDuration())
 	}
 }
 
--- a/forecast/loads.go
+++ b/forecast/loads.go
@@ -24,47 +24,47 @@
 	turnaround = 600 * time.Millisecond
 )
 
-// Loads is what is known of loads of weights. Its zero value knows nothing.
-type Loads struct {
-	// Alone is the time of a load of an idle runner; 0 until one was seen.
-	Alone time.Duration
-	// Seen counts the loads that this rests on, by whichever process.
-	Seen int
+// WeightLoads is what is known of loads of weights. Its zero value knows nothing.
+type WeightLoads struct {
+	// IdleDuration is the time of a load of an idle runner; 0 until one was seen.
+	IdleDuration time.Duration
+	// Samples counts the loads that this rests on, by whichever process.
+	Samples int
 }
 
-// Loaded takes a load that ended so long after its order. Of the orders, those of
+// Observe takes a load that ended so long after its order. Of the orders, those of
 // idle runners tell the time of a load.
-func (l *Loads) Loaded(took time.Duration) {
+func (l *WeightLoads) Observe(took time.Duration) {
 	if took <= 0 {
 		return
 	}
-	l.Seen++
-	if l.Alone == 0 || took < l.Alone {
-		l.Alone = took
+	l.Samples++
+	if l.IdleDuration == 0 || took < l.IdleDuration {
+		l.IdleDuration = took
 		return
 	}
-	l.Alone += time.Duration(loadRise * float64(took-l.Alone))
+	l.IdleDuration += time.Duration(loadRise * float64(took-l.IdleDuration))
 }
 
-// AtOnce returns how many of n runners may have orders at the same time: so many
+// MaxConcurrent returns how many of n runners may have orders at the same time: so many
 // that those of them that have ended their runs load at full speed, and no more,
 // since each one more is out of service for nothing. Half of the runners stay in
 // service.
-func (l *Loads) AtOnce(n int) int {
-	load := l.Load().Seconds()
+func (l *WeightLoads) MaxConcurrent(n int) int {
+	load := l.LoadDuration().Seconds()
 	orders := max(loadsLeast, loadsShare*float64(n)) * (turnaround.Seconds() + load) / load
 	return max(1, min(int(orders), n/2))
 }
 
-// Order returns the time of an order to a runner with few runs to end.
-func (l *Loads) Order() time.Duration {
-	return turnaround + l.Load()
+// OrderDuration returns the time of an order to a runner with few runs to end.
+func (l *WeightLoads) OrderDuration() time.Duration {
+	return turnaround + l.LoadDuration()
 }
 
-// Load returns the time of a load.
-func (l *Loads) Load() time.Duration {
-	if l.Alone == 0 {
+// LoadDuration returns the time of a load.
+func (l *WeightLoads) LoadDuration() time.Duration {
+	if l.IdleDuration == 0 {
 		return firstLoad
 	}
-	return l.Alone
+	return l.IdleDuration
 }
--- a/forecast/loads_test.go
+++ b/forecast/loads_test.go
@@ -12,11 +12,11 @@
 func TestAtOnceLeavesHalf(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 400).Draw(t, "runners")
-		var l Loads
+		var l WeightLoads
 		for range rapid.IntRange(0, 30).Draw(t, "loads") {
-			l.Loaded(time.Duration(rapid.IntRange(0, 20000).Draw(t, "load ms")) * time.Millisecond)
+			l.Observe(time.Duration(rapid.IntRange(0, 20000).Draw(t, "load ms")) * time.Millisecond)
 		}
-		if at := l.AtOnce(n); at < 1 || (n > 1 && at > n/2) {
+		if at := l.MaxConcurrent(n); at < 1 || (n > 1 && at > n/2) {
 			t.Errorf("%d of %d at once", at, n)
 		}
 	})
@@ -38,9 +38,9 @@
 		{38, 600 * time.Millisecond, 13},
 		{44, 2100 * time.Millisecond, 10},
 	} {
-		var l Loads
-		l.Loaded(test.load)
-		if at := l.AtOnce(test.runners); at != test.want {
+		var l WeightLoads
+		l.Observe(test.load)
+		if at := l.MaxConcurrent(test.runners); at != test.want {
 			t.Errorf("%d of %d runners at once with loads of %v, want %d", at, test.runners, test.load, test.want)
 		}
 	}
@@ -50,17 +50,17 @@
 // long. The time of a load stays near that of the idle ones, and follows engines
 // whose weights take longer within some rollouts.
 func TestTheTimeOfALoadIsThatOfIdleRunners(t *testing.T) {
-	var l Loads
+	var l WeightLoads
 	for i := range 40 {
-		l.Loaded(2*time.Second + time.Duration(i%5)*time.Second)
+		l.Observe(2*time.Second + time.Duration(i%5)*time.Second)
 	}
-	if l.Load() > 2200*time.Millisecond {
-		t.Errorf("a load is taken for %v", l.Load())
+	if l.LoadDuration() > 2200*time.Millisecond {
+		t.Errorf("a load is taken for %v", l.LoadDuration())
 	}
 	for range 300 {
-		l.Loaded(6 * time.Second)
+		l.Observe(6 * time.Second)
 	}
-	if l.Load() < 5*time.Second {
-		t.Errorf("a load is taken for %v where all take 6 s", l.Load())
+	if l.LoadDuration() < 5*time.Second {
+		t.Errorf("a load is taken for %v where all take 6 s", l.LoadDuration())
 	}
 }
--- a/health/health.go
+++ b/health/health.go
@@ -32,8 +32,8 @@
 	forgotten = 5 * time.Millisecond
 )
 
-// Target is the opinion of one target.
-type Target struct {
+// Tracker is the opinion of one target.
+type Tracker struct {
 	failures  int
 	pause     time.Duration
 	retryAt   time.Time
@@ -41,8 +41,8 @@
 	penaltyAt time.Time
 }
 
-// Failed counts one failure to reach the target or of the target itself.
-func (t *Target) Failed(now time.Time) {
+// RecordFailure counts one failure to reach the target or of the target itself.
+func (t *Tracker) RecordFailure(now time.Time) {
 	t.failures++
 	t.penalty = maxPenalty
 	t.penaltyAt = now
@@ -53,21 +53,21 @@
 	t.retryAt = now.Add(t.pause)
 }
 
-// Unreachable counts a failure to connect: a target that answers nothing needs
+// RecordConnectFailure counts a failure to connect: a target that answers nothing needs
 // no second sign.
-func (t *Target) Unreachable(now time.Time) {
+func (t *Tracker) RecordConnectFailure(now time.Time) {
 	t.failures = max(t.failures, deadAfter-1)
-	t.Failed(now)
+	t.RecordFailure(now)
 }
 
-// Succeeded counts one good answer.
-func (t *Target) Succeeded() {
+// RecordSuccess counts one good answer.
+func (t *Tracker) RecordSuccess() {
 	t.failures = 0
 	t.pause = 0
 }
 
 // State returns the opinion now.
-func (t *Target) State(now time.Time) State {
+func (t *Tracker) State(now time.Time) State {
 	switch {
 	case t.failures >= deadAfter:
 		return Dead
@@ -77,10 +77,10 @@
 	return Live
 }
 
-// Usable reports whether the target may be asked now. A dead one may once its
+// AllowRequest reports whether the target may be asked now. A dead one may once its
 // pause is over, and the asking starts the next pause, so that one probe goes
 // at a time.
-func (t *Target) Usable(now time.Time) bool {
+func (t *Tracker) AllowRequest(now time.Time) bool {
 	if t.failures < deadAfter {
 		return true
 	}
@@ -92,7 +92,7 @@
 }
 
 // Penalty returns the cost that the doubt adds now.
-func (t *Target) Penalty(now time.Time) time.Duration {
+func (t *Tracker) Penalty(now time.Time) time.Duration {
 	p := t.penalty
 	for since := now.Sub(t.penaltyAt); p > 0 && since >= penaltyHalfLife; since -= penaltyHalfLife {
 		p /= 2
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -10,23 +10,23 @@
 // A target that fails is asked less, then left alone, probed one request at a
 // time, and given its work back by degrees.
 func TestOpinion(t *testing.T) {
-	var target Target
-	if target.State(start) != Live || !target.Usable(start) {
+	var target Tracker
+	if target.State(start) != Live || !target.AllowRequest(start) {
 		t.Fatal("a new target is live")
 	}
-	target.Failed(start)
-	if target.State(start) != Suspect || !target.Usable(start) || target.Penalty(start) != maxPenalty {
+	target.RecordFailure(start)
+	if target.State(start) != Suspect || !target.AllowRequest(start) || target.Penalty(start) != maxPenalty {
 		t.Error("after one failure a target is suspect")
 	}
-	target.Failed(start)
-	if target.State(start) != Dead || target.Usable(start) {
+	target.RecordFailure(start)
+	if target.State(start) != Dead || target.AllowRequest(start) {
 		t.Error("after two failures a target is left alone")
 	}
 	later := start.Add(firstPause)
-	if !target.Usable(later) || target.Usable(later) {
+	if !target.AllowRequest(later) || target.AllowRequest(later) {
 		t.Error("one probe at a time")
 	}
-	target.Succeeded()
+	target.RecordSuccess()
 	if target.State(later) != Suspect {
 		t.Error("a target that came back is suspect for a while")
 	}
--- a/node/digest.go
+++ b/node/digest.go
@@ -193,7 +193,7 @@
 	now := time.Now()
 	all := p.digest.take(l, p.fleet.GroupLoad(now))
 	all.Engines = p.fleet.GroupWords(now)
-	all.Limits, all.TargetLimits = p.view.limitBook.GroupWords(l.group, now), p.view.targetBook.GroupWords(l.group, now)
+	all.Limits, all.TargetLimits = p.view.limitBook.GroupUpdate(l.group, now), p.view.targetBook.GroupUpdate(l.group, now)
 	p.digest.count(digestTold)
 	return all
 }
--- a/node/digest_test.go
+++ b/node/digest_test.go
@@ -225,14 +225,14 @@
 	for _, p := range h.nodes[:4] {
 		p.view.enlist(fresh.view.self, "")
 	}
-	h.nodes[0].table.Broke(c, ended, time.Now(), time.Now())
-	h.nodes[0].table.Ended(ended, time.Now())
+	h.nodes[0].table.RecordBrokenResponse(c, ended, time.Now(), time.Now())
+	h.nodes[0].table.RecordCrash(ended, time.Now())
 	h.nodes[0].send(h.nodes[0].view.plan())
-	if got := fresh.table.Judge(c.Content, time.Now()).Standing; got != poison.Free {
+	if got := fresh.table.Evaluate(c.Content, time.Now()).Status; got != poison.Free {
 		t.Errorf("one that is no member is told: %s", got)
 	}
 	fresh.send(fresh.view.plan())
-	if got := fresh.table.Judge(c.Content, time.Now()).Standing; got != poison.Suspect {
+	if got := fresh.table.Evaluate(c.Content, time.Now()).Status; got != poison.Suspect {
 		t.Errorf("after its first pulse it holds the content for %s", got)
 	}
 }
@@ -242,16 +242,16 @@
 func TestVerdictReachesAllGroups(t *testing.T) {
 	h := newHall(103)
 	c := poison.Case{Content: poison.Content{URI: "/deadly"}.Fingerprint(), Service: "lm", Customer: "c1"}
-	for i := range poison.EndsMost {
+	for i := range poison.CrashThreshold {
 		ended := fleet.Life{ID: fmt.Sprint("ended", i), Born: 1}
-		h.nodes[i].table.Broke(c, ended, time.Now(), time.Now())
-		h.nodes[i].table.Ended(ended, time.Now())
+		h.nodes[i].table.RecordBrokenResponse(c, ended, time.Now(), time.Now())
+		h.nodes[i].table.RecordCrash(ended, time.Now())
 	}
 	h.round()
 	h.round()
 	for i, p := range h.nodes {
-		if got := p.table.Judge(c.Content, time.Now()); got.Standing != poison.Refused {
-			t.Errorf("n%d of group %d: %s after %d ends", i, p.view.plan().Group, got.Standing, got.Ends)
+		if got := p.table.Evaluate(c.Content, time.Now()); got.Status != poison.Refused {
+			t.Errorf("n%d of group %d: %s after %d ends", i, p.view.plan().Group, got.Status, got.Crashes)
 		}
 	}
 }
--- a/node/figures.go
+++ b/node/figures.go
@@ -21,9 +21,9 @@
 			loads := n.view.fleet.Loads(service)
 			n.log.WithFields(logrus.Fields{
 				"event": "engine_figures", "service": service,
-				"fixed_ms": f.Fixed * 1e3, "thousand_tokens_ms": f.Token * 1e3, "million_pairs_ms": f.Pairs * 1e3,
-				"moved_runner_ms": f.Runner * 1e3, "moved_store_ms": f.Store * 1e3,
-				"load_ms": loads.Load().Milliseconds(), "loads_seen": loads.Seen,
+				"fixed_ms": f.Base * 1e3, "thousand_tokens_ms": f.PerKiloToken * 1e3, "million_pairs_ms": f.PerMegaPair * 1e3,
+				"moved_runner_ms": f.RunnerTransfer * 1e3, "moved_store_ms": f.StoreTransfer * 1e3,
+				"load_ms": loads.LoadDuration().Milliseconds(), "loads_seen": loads.Samples,
 			}).Info("learnt from answers and loads")
 		}
 	}
--- a/node/leavers_test.go
+++ b/node/leavers_test.go
@@ -40,7 +40,7 @@
 	w.repeat("/match/deadly", 2, w.node)
 	fresh := w.startNode("n1")
 	w.until("it knows of two ends", func() bool {
-		held := fresh.view.verdicts.Table.Held(time.Now())
-		return len(held) == 1 && len(held[0].Ends) == 2
+		held := fresh.view.verdicts.Table.BootstrapReports(time.Now())
+		return len(held) == 1 && len(held[0].Crashes) == 2
 	})
 }
--- a/node/limits.go
+++ b/node/limits.go
@@ -29,16 +29,16 @@
 }
 
 // takeUses takes what a datagram tells of the uses of one book.
-func (p *pulse) takeUses(b *quota.Book, message *keelv1.Pulse, w *keelv1.LimitNews, now time.Time) {
+func (p *pulse) takeUses(b *quota.Limiter, message *keelv1.Pulse, w *keelv1.LimitNews, now time.Time) {
 	if w == nil {
 		return
 	}
 	n := pulses.DecodeLimits(message.Sender, w)
 	if message.Group != nil {
-		b.HeardGroup(int(message.Group.Group), n, now)
+		b.ApplyGroupUpdate(int(message.Group.Group), n, now)
 		return
 	}
-	b.Heard(n, now)
+	b.ApplyPeerUpdate(n, now)
 }
 
 // countMembers has the limits shared among as many processes as serve: of one node's
@@ -87,8 +87,8 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.count.stored, v.count.revision = n, revision
-	v.limitBook.SetUsual(int(n))
-	v.targetBook.SetUsual(int(n))
+	v.limitBook.SetRecentMembers(int(n))
+	v.targetBook.SetRecentMembers(int(n))
 }
 
 // dueCount returns the count that the store should have, and whether it has another.
@@ -129,13 +129,13 @@
 	changes *prometheus.CounterVec
 }
 
-func newLimitMetrics(r *prometheus.Registry, book *quota.Book) limitMetrics {
+func newLimitMetrics(r *prometheus.Registry, book *quota.Limiter) limitMetrics {
 	telemetry.NewGaugeFunc(r, "keel_node_limits_part", "Part of customers' limits that is left to the entries that hear each other.", func() float64 {
-		return book.State(time.Now()).Part
+		return book.State(time.Now()).LimitFraction
 	})
 	telemetry.NewGaugeFunc(r, "keel_node_limits_customers_over", "Customers that were over their limits in the last seconds.", func() float64 {
 		over := 0
-		for _, u := range book.State(time.Now()).Uses {
+		for _, u := range book.State(time.Now()).Customers {
 			if u.Over {
 				over++
 			}
@@ -159,8 +159,8 @@
 			}
 			n.limits.changes.WithLabelValues(event).Inc()
 			n.log.WithFields(logrus.Fields{
-				"event": event, "customer": c.Customer, "unit": c.Unit, "rate": c.Rate, "burst": c.Burst, "left": math.Round(c.Left),
-				"asked": math.Round(c.Asked), "asked_of_all": math.Round(c.AskedOfAll), "admitted": c.Admitted, "refused": c.Refused,
+				"event": event, "customer": c.Customer, "unit": c.Unit, "rate": c.Rate, "burst": c.Burst, "left": math.Round(c.Remaining),
+				"asked": math.Round(c.Demand), "asked_of_all": math.Round(c.TotalDemand), "admitted": c.Admitted, "refused": c.Refused,
 			}).Info(message)
 		}
 	}
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -41,8 +41,8 @@
 func (w *world) untilLimit(n *Node, rate float64) {
 	w.t.Helper()
 	w.until("the limit is in force", func() bool {
-		uses := w.limitsOf(n).Uses
-		return len(uses) == 1 && uses[0].Rate == rate && uses[0].Left == uses[0].Burst
+		uses := w.limitsOf(n).Customers
+		return len(uses) == 1 && uses[0].Rate == rate && uses[0].Remaining == uses[0].Burst
 	})
 }
 
@@ -54,12 +54,12 @@
 	w.limit(map[string]any{"rate_per_s": 0.5, "burst": 10, "unit": "requests"})
 	for _, n := range []*Node{w.node, other} {
 		w.untilLimit(n, 0.5)
-		w.until("the entries hear each other", func() bool { return w.limitsOf(n).Heard == 2 })
+		w.until("the entries hear each other", func() bool { return w.limitsOf(n).Reachable == 2 })
 	}
 	for i := range 11 {
 		w.send("GET", fmt.Sprintf("/stock/%d", i), "", nil)
 	}
-	w.until("the other entry has heard of it", func() bool { return w.limitsOf(other).Uses[0].Left < 5 })
+	w.until("the other entry has heard of it", func() bool { return w.limitsOf(other).Customers[0].Remaining < 5 })
 	served := 0
 	for i := range 11 {
 		a := w.sendTo(other, "GET", "/stock/9", "", fmt.Sprintf("far-%d", i), nil)
@@ -82,7 +82,7 @@
 	w := newWorld(t)
 	w.limit(map[string]any{"rate_per_s": 0.001, "burst": 1000, "unit": "tokens", "uncached_tokens": 100})
 	w.untilLimit(w.node, 0.001)
-	left := func() float64 { return w.limitsOf(w.node).Uses[0].Left }
+	left := func() float64 { return w.limitsOf(w.node).Customers[0].Remaining }
 	if a := w.send("GET", "/stock/1", "", nil); a.status != http.StatusOK {
 		t.Fatalf("answered %d", a.status)
 	}
@@ -110,7 +110,7 @@
 		before := out.leftOut("op/config", reason)
 		w.limit(odd)
 		w.until("the fault is said", func() bool { return out.leftOut("op/config", reason) == before+1 })
-		if rate := w.limitsOf(w.node).Uses[0].Rate; rate != 7 {
+		if rate := w.limitsOf(w.node).Customers[0].Rate; rate != 7 {
 			t.Errorf("%v put the rate %v into force", odd, rate)
 		}
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -134,8 +134,8 @@
 		keys:    ownKeysOf(),
 	}
 	n.view.self = n.view.keys.members + n.name
-	n.view.limitBook = quota.NewBook(s.Bounds.Quota(), o.Without, n.session.Valid, time.Now())
-	n.view.targetBook = quota.NewBook(fleet.TargetBounds, o.Without, n.session.Valid, time.Now())
+	n.view.limitBook = quota.NewLimiter(s.Bounds.Quota(), o.Without, n.session.Valid, time.Now())
+	n.view.targetBook = quota.NewLimiter(fleet.TargetBounds, o.Without, n.session.Valid, time.Now())
 	targets.KeepLimits(n.view.targetBook, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	n.limits = newLimitMetrics(n.registry, n.view.limitBook)
 	n.notices = newNoticeMetrics(n.registry)
@@ -153,7 +153,7 @@
 		MaxStaleness: n.view.oldWeights,
 	}, log)
 	targets.OnRebirth(n.view.reborn)
-	targets.OnEnded(func(l fleet.Life) { n.view.verdicts.Table.Ended(l, time.Now()) })
+	targets.OnEnded(func(l fleet.Life) { n.view.verdicts.Table.RecordCrash(l, time.Now()) })
 	watches := telemetry.NewCounter(n.registry, "keel_node_store_watches_total", "Watches of the platform's store, by reason.", "reason")
 	timing := follow.Options{WatchTimeout: watchWait, BatchDelay: gather, PeerTimeout: n.view.patience, OnWatch: func(r follow.Reason) { watches.WithLabelValues(string(r)).Inc() }}
 	n.view.follower = follow.New(n.store, platform.AllKeys, timing, platform.NewFeed(n.view), log)
@@ -180,7 +180,7 @@
 		return age.Seconds()
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_contents_refused", "Contents that are refused now because targets ended under them.", func() float64 {
-		return float64(n.view.verdicts.Table.Refused(time.Now()))
+		return float64(n.view.verdicts.Table.RefusedCount(time.Now()))
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_oldest_naming_seconds", "For how long the oldest naming of weights has not been in force everywhere; 0 where all are.", func() float64 {
 		return n.view.oldestNaming(time.Now()).Seconds()
--- a/node/poison_test.go
+++ b/node/poison_test.go
@@ -241,15 +241,15 @@
 	table := w.node.view.verdicts.Table
 	c := poison.Case{Content: poison.Content{URI: "/silent"}.Fingerprint(), Service: "lm"}
 	now := time.Now()
-	for i := range poison.EndsMost {
+	for i := range poison.CrashThreshold {
 		gone := fleet.Runner{ID: fmt.Sprint("silent", i), Service: "lm", Address: "127.0.0.1:9", Weights: map[string]int64{model: 1}}
 		planned := fleet.Runner{ID: fmt.Sprint("leaving", i), Service: "lm", Address: "127.0.0.1:9", Draining: true}
 		for _, r := range []fleet.Runner{gone, planned} {
 			w.node.view.fleet.Put(r)
-			table.Broke(c, r.Life(), now, now)
+			table.RecordBrokenResponse(c, r.Life(), now, now)
 			w.node.view.drop(r.ID)
 		}
-		if ends := table.Judge(c.Content, time.Now()).Ends; ends != i+1 {
+		if ends := table.Evaluate(c.Content, time.Now()).Crashes; ends != i+1 {
 			t.Errorf("%d ends count after %d silent and %d planned ones", ends, i+1, i+1)
 		}
 	}
@@ -270,7 +270,7 @@
 	w.repeat("/match/deadly", 8, w.node)
 	content := poison.Content{Method: "POST", Host: "h.example", URI: "/match/deadly", Customer: "c1", Body: []byte(deadlyWord)}.Fingerprint()
 	w.until("it knows the verdict", func() bool {
-		return deaf.view.verdicts.Table.Judge(content, time.Now()).Standing == poison.Refused
+		return deaf.view.verdicts.Table.Evaluate(content, time.Now()).Status == poison.Refused
 	})
 	before := w.crashes()
 	if !w.refuses(deaf) || w.crashes() != before {
@@ -304,13 +304,13 @@
 	entry := former.EntryAt("ready", w.runners[0].Address())
 	former.Close()
 	gone := fleet.Life{ID: "gone"}
-	table.Broke(c, gone, time.Now(), time.Now())
+	table.RecordBrokenResponse(c, gone, time.Now(), time.Now())
 	w.store.Set(entry.Key, entry.Value)
 	w.until("somebody meets the other runner", func() bool {
 		ids++
 		header := prompt()
 		header["Prefix-Hash"] = fmt.Sprintf("a%d:400,b%d:300,c%d:200", ids, ids, ids)
 		w.send("POST", "/draft/x", "", header)
-		return table.Judge(c.Content, time.Now()).Ends == 1
+		return table.Evaluate(c.Content, time.Now()).Crashes == 1
 	})
 }
--- a/node/pulse.go
+++ b/node/pulse.go
@@ -197,14 +197,14 @@
 
 // gather takes what there is to tell now.
 func (p *pulse) gather(now time.Time) pulses.Update {
-	all := pulses.Update{Loads: p.fleet.Occupied(pulseLoads), Findings: p.fleet.Findings(now), Caches: p.fleet.News(now), Saves: p.fleet.Saves(), Suspects: p.table.News(now)}
+	all := pulses.Update{Loads: p.fleet.Occupied(pulseLoads), Findings: p.fleet.Findings(now), Caches: p.fleet.News(now), Saves: p.fleet.Saves(), Suspects: p.table.NextReports(now)}
 	if now.Sub(p.toldEngines) >= enginesEvery {
 		all.Engines, p.toldEngines = p.fleet.Words(now), now
 	}
 	if p.fleet.Off(policy.LoadSharing) {
 		all.Loads = nil
 	}
-	all.Limits, all.TargetLimits = p.view.limitBook.Words(now), p.view.targetBook.Words(now)
+	all.Limits, all.TargetLimits = p.view.limitBook.PeerUpdate(now), p.view.targetBook.PeerUpdate(now)
 	if int64(clock.Now()) < p.tellNamings.Load() {
 		all.Namings = p.namings(now)
 	}
@@ -296,16 +296,16 @@
 // retell has what is held against contents, and namings, told once more, for a process
 // that is heard or seen for the first time.
 func (p *pulse) retell(now time.Time) {
-	p.table.Retell(now)
+	p.table.ScheduleResend(now)
 	p.tellNamings.Store(int64(clock.Now().Add(namingsFor)))
 }
 
 // answer tells a process that is not among those that this one tells, and reports whether
 // there was anything to tell.
 func (p *pulse) answer(name string, to netip.AddrPort, now time.Time) bool {
-	held, namings := p.table.Held(now), pulses.EncodeNamings(p.namings(now))
-	limits, targets := p.view.limitBook.All(now), p.view.targetBook.All(now)
-	if len(held)+len(namings)+len(limits.Words)+len(targets.Words) == 0 || p.view.plan().HasPeer(p.view.keys.members+name) {
+	held, namings := p.table.BootstrapReports(now), pulses.EncodeNamings(p.namings(now))
+	limits, targets := p.view.limitBook.FullUpdate(now), p.view.targetBook.FullUpdate(now)
+	if len(held)+len(namings)+len(limits.Reports)+len(targets.Reports) == 0 || p.view.plan().HasPeer(p.view.keys.members+name) {
 		return false
 	}
 	messages := []*keelv1.Pulse{{Sender: p.name, Suspects: pulses.EncodeSuspects(held), Namings: namings}}
@@ -348,7 +348,7 @@
 
 func (p *pulse) heardSuspects(message *keelv1.Pulse, now time.Time) []poison.Report {
 	all := pulses.DecodeSuspects(message.Suspects)
-	p.table.Heard(all, now)
+	p.table.ApplyReports(all, now)
 	return all
 }
 
--- a/node/pulse_test.go
+++ b/node/pulse_test.go
@@ -159,11 +159,11 @@
 // What an entry observed of engines arrives as it was told, to the digits that a
 // float32 has; a word of another shape, as of a later version, is left out.
 func TestWordsOfEnginesArrive(t *testing.T) {
-	w := forecast.Word{
-		Service: "lm",
-		Runs:    forecast.Ratio{Seconds: 12.5, Tokens: 4800},
-		Loads:   forecast.Loads{Alone: 2100 * time.Millisecond, Seen: 7},
-		Mix:     forecast.Mix{Light: 0.5, Heavy: 4.25, Heavies: 12},
+	w := forecast.Report{
+		Service:     "lm",
+		SlotHold:    forecast.TimePerToken{Seconds: 12.5, Tokens: 4800},
+		WeightLoads: forecast.WeightLoads{IdleDuration: 2100 * time.Millisecond, Samples: 7},
+		OfferedLoad: forecast.OfferedLoad{Light: 0.5, Heavy: 4.25, HeavyRate: 12},
 	}
 	for i := range w.Sums.Cross {
 		w.Sums.Cross[i] = float64(i) + 0.5
@@ -172,10 +172,10 @@
 		w.Sums.Right[i] = float64(i) * 2
 	}
 	w.Sums.Weight = 40
-	if got := pulses.DecodeEngines(pulses.EncodeEngines([]forecast.Word{w})); len(got) != 1 || got[0] != w {
+	if got := pulses.DecodeEngines(pulses.EncodeEngines([]forecast.Report{w})); len(got) != 1 || got[0] != w {
 		t.Errorf("%+v arrived, want %+v", got, w)
 	}
-	other := pulses.EncodeEngines([]forecast.Word{w})
+	other := pulses.EncodeEngines([]forecast.Report{w})
 	other[0].Right = other[0].Right[1:]
 	if got := pulses.DecodeEngines(other); len(got) != 0 {
 		t.Errorf("%+v arrived of a word of another shape", got)
--- a/node/view.go
+++ b/node/view.go
@@ -39,9 +39,9 @@
 
 	config atomic.Pointer[catalog.Config]
 	// limitBook holds what customers used of their limits.
-	limitBook *quota.Book
+	limitBook *quota.Limiter
 	// targetBook holds what all entries sent to targets that name limits.
-	targetBook *quota.Book
+	targetBook *quota.Limiter
 
 	// self is this node's key among the members.
 	self string
@@ -199,7 +199,7 @@
 func (v *view) reborn(now, former fleet.Life) {
 	v.log.WithFields(logrus.Fields{"event": "target_reborn", "target": now.ID, "born": now.Born, "former": former.Born}).Info("the target started again; what was kept of its former life has ended")
 	v.holder.Wake()
-	v.verdicts.Table.Ended(former, time.Now())
+	v.verdicts.Table.RecordCrash(former, time.Now())
 }
 
 // Gone implements platform.View. Entries lapse while the store can't be
@@ -227,7 +227,7 @@
 	if last, ok := v.fleet.Remove(id); ok && !last.Draining {
 		// Of one that said nothing of leaving, answers that broke off just before are
 		// the sign of a crash: of a machine that fell silent there is no other.
-		v.verdicts.Table.Ended(last.Life(), time.Now())
+		v.verdicts.Table.RecordCrash(last.Life(), time.Now())
 	}
 	v.log.WithFields(logrus.Fields{"event": "target_gone", "target": id}).Info("the list lost the target")
 }
--- a/node/world_test.go
+++ b/node/world_test.go
@@ -44,8 +44,8 @@
 }
 
 // testBook returns the book of customers' limits of a node that is alone.
-func testBook() *quota.Book {
-	return quota.NewBook(quota.Bounds{}, nil, func() bool { return true }, time.Now())
+func testBook() *quota.Limiter {
+	return quota.NewLimiter(quota.Tolerance{}, nil, func() bool { return true }, time.Now())
 }
 
 const (
--- a/poison/change.go
+++ b/poison/change.go
@@ -6,17 +6,17 @@
 	"acaciakeel/fleet"
 )
 
-// What is a kind of change; each is a label of the counter of contents.
-type What string
+// ChangeKind is a kind of change; each is a label of the counter of contents.
+type ChangeKind string
 
 // The kinds of changes.
 const (
-	Suspected What = "suspected"
-	Convicted What = "convicted"
-	Cleared   What = "cleared"
-	Lifted    What = "lifted"
-	Expired   What = "expired"
-	Dropped   What = "dropped"
+	Suspected ChangeKind = "suspected"
+	Convicted ChangeKind = "convicted"
+	Cleared   ChangeKind = "cleared"
+	Lifted    ChangeKind = "lifted"
+	Expired   ChangeKind = "expired"
+	Dropped   ChangeKind = "dropped"
 )
 
 // Origin says how a process came to know.
@@ -24,20 +24,20 @@
 
 // The origins of what is known.
 const (
-	// Seen by this process itself, Told by another, Kept in the platform's store.
-	Seen Origin = "seen"
-	Told Origin = "told"
-	Kept Origin = "kept"
+	// OriginLocal by this process itself, Told by another, Kept in the platform's store.
+	OriginLocal Origin = "seen"
+	OriginPeer  Origin = "told"
+	OriginStore Origin = "kept"
 )
 
 // Change is one change of what is held of a content.
 type Change struct {
 	Case
-	What   What
+	Kind   ChangeKind
 	Origin Origin
 	// Target is the life whose end made the change; empty where none did.
 	Target fleet.Life
-	// Ends is how many ends count by now, Until when a verdict lapses.
-	Ends  int
-	Until time.Time
+	// Crashes is how many ends count by now, Until when a verdict lapses.
+	Crashes int
+	Until   time.Time
 }
--- a/poison/fingerprint.go
+++ b/poison/fingerprint.go
@@ -46,8 +46,8 @@
 	return hex.EncodeToString(f[:])
 }
 
-// Parse reads what String wrote.
-func Parse(text string) (Fingerprint, error) {
+// ParseFingerprint reads what String wrote.
+func ParseFingerprint(text string) (Fingerprint, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != len(Fingerprint{}) {
 		return Fingerprint{}, fmt.Errorf("%q is no fingerprint; want 32 hexadecimal digits as the log shows them", text)
--- a/poison/fingerprint_test.go
+++ b/poison/fingerprint_test.go
@@ -29,11 +29,11 @@
 
 func TestParse(t *testing.T) {
 	f := Content{Method: "GET"}.Fingerprint()
-	if got, err := Parse(f.String()); err != nil || got != f {
+	if got, err := ParseFingerprint(f.String()); err != nil || got != f {
 		t.Errorf("%v, %v", got, err)
 	}
 	for _, bad := range []string{"", "xyz", f.String()[2:]} {
-		if _, err := Parse(bad); err == nil {
+		if _, err := ParseFingerprint(bad); err == nil {
 			t.Errorf("%q was read", bad)
 		}
 	}
--- a/poison/news.go
+++ b/poison/news.go
@@ -32,21 +32,21 @@
 // as often as may be: ends are a set, and one that was discharged stays so.
 type Report struct {
 	Case
-	Ends []End
-	// For is how much longer a verdict holds; 0 is none.
-	For time.Duration
-	// At is the target at which a request with the content is under way; nil where none is.
-	At *fleet.Life
+	Crashes []Crash
+	// Remaining is how much longer a verdict holds; 0 is none.
+	Remaining time.Duration
+	// RunningOn is the target at which a request with the content is under way; nil where none is.
+	RunningOn *fleet.Life
 }
 
-// End is a life that ended under a content.
-type End struct {
-	Life       fleet.Life
-	Discharged bool
+// Crash is a life that ended under a content.
+type Crash struct {
+	Life    fleet.Life
+	Cleared bool
 }
 
-// News returns what there is to tell now.
-func (t *Table) News(now time.Time) []Report {
+// NextReports returns what there is to tell now.
+func (t *Table) NextReports(now time.Time) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	room := min(newsBurst, t.room+int(newsRate*now.Sub(t.toldAt).Seconds()))
@@ -86,9 +86,9 @@
 	return out, room
 }
 
-// Held returns what matters most of what is held, for a process that the others do not
+// BootstrapReports returns what matters most of what is held, for a process that the others do not
 // tell anything yet: about a packet.
-func (t *Table) Held(now time.Time) []Report {
+func (t *Table) BootstrapReports(now time.Time) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out, _ := t.tell(heldBytes, now, func(r *record) bool { return r.matters(now) })
@@ -110,8 +110,8 @@
 
 // bytes is about how much a report takes.
 func (r Report) bytes() int {
-	n := reportBytes + endBytes*len(r.Ends) + len(r.Service) + len(r.Customer) + len(r.Request)
-	if r.At != nil {
+	n := reportBytes + endBytes*len(r.Crashes) + len(r.Service) + len(r.Customer) + len(r.Request)
+	if r.RunningOn != nil {
 		n += endBytes
 	}
 	return n
@@ -120,12 +120,12 @@
 // report returns what is told of a content. Whose it is matters to the others once more
 // than one target has ended.
 func (r *record) report(at *fleet.Life, now time.Time) Report {
-	out := Report{Case: r.Case, At: at, For: max(0, r.until.Sub(now))}
+	out := Report{Case: r.Case, RunningOn: at, Remaining: max(0, r.until.Sub(now))}
 	if len(r.ends) < 2 {
 		out.Case = Case{Content: r.Content}
 	}
 	for _, e := range r.ends {
-		out.Ends = append(out.Ends, End{Life: e.life, Discharged: e.discharged})
+		out.Crashes = append(out.Crashes, Crash{Life: e.life, Cleared: e.discharged})
 	}
 	return out
 }
@@ -141,9 +141,9 @@
 	return nil
 }
 
-// Retell has what is held told once more, for a process that has just been heard for the
+// ScheduleResend has what is held told once more, for a process that has just been heard for the
 // first time: one that starts knows of no suspects.
-func (t *Table) Retell(now time.Time) {
+func (t *Table) ScheduleResend(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.records {
@@ -153,14 +153,14 @@
 	}
 }
 
-// Heard takes what other processes told.
-func (t *Table) Heard(all []Report, now time.Time) {
+// ApplyReports takes what other processes told.
+func (t *Table) ApplyReports(all []Report, now time.Time) {
 	t.mu.Lock()
 	defer t.unlock()
 	for _, report := range all {
-		t.heard(report, Told, now)
-		if report.At != nil {
-			t.elsewhere[report.Content] = underWay{at: *report.At, heard: now}
+		t.heard(report, OriginPeer, now)
+		if report.RunningOn != nil {
+			t.elsewhere[report.Content] = underWay{at: *report.RunningOn, heard: now}
 		} else {
 			delete(t.elsewhere, report.Content)
 		}
@@ -170,8 +170,8 @@
 // heard merges a report into what is held; the caller holds mu. A verdict that others
 // reached holds here as long as there, and no longer than the ends that it rests on.
 func (t *Table) heard(report Report, from Origin, now time.Time) {
-	for _, e := range report.Ends {
-		if e.Discharged {
+	for _, e := range report.Crashes {
+		if e.Cleared {
 			t.discharge(report.Case, e.Life, now)
 		}
 	}
@@ -181,30 +181,30 @@
 		// a verdict anew at whoever starts, with no end since the last one.
 		take = func(c Case, life fleet.Life, from Origin, now time.Time) { t.hold(c, life, from, now) }
 	}
-	for _, e := range report.Ends {
-		if !e.Discharged {
+	for _, e := range report.Crashes {
+		if !e.Cleared {
 			take(report.Case, e.Life, from, now)
 		}
 	}
 	r := t.records[report.Content]
-	if r == nil || r.counted() < EndsMost || report.For <= 0 {
+	if r == nil || r.counted() < CrashThreshold || report.Remaining <= 0 {
 		return
 	}
-	if until := now.Add(min(report.For, mostTerm)); until.After(r.until) {
+	if until := now.Add(min(report.Remaining, mostTerm)); until.After(r.until) {
 		r.until, r.expired = until, false
-		r.term = max(r.term, min(report.For, mostTerm))
+		r.term = max(r.term, min(report.Remaining, mostTerm))
 	}
 }
 
 // lapsed reports whether the ends are enough for a verdict that holds no more.
 func (r Report) lapsed() bool {
 	n := 0
-	for _, e := range r.Ends {
-		if !e.Discharged {
+	for _, e := range r.Crashes {
+		if !e.Cleared {
 			n++
 		}
 	}
-	return n >= EndsMost && r.For <= 0
+	return n >= CrashThreshold && r.Remaining <= 0
 }
 
 // discharge takes that an end counts no more; the caller holds mu. It is kept also
--- a/poison/table.go
+++ b/poison/table.go
@@ -12,12 +12,12 @@
 
 // Figures of the verdict.
 const (
-	// EndsMost is how many targets may end under one content before it is refused. One
+	// CrashThreshold is how many targets may end under one content before it is refused. One
 	// end says little: all of the sixteen or more requests that a target runs see it.
 	// After the second a proper request still may have been there by chance, on a day on
 	// which many targets end; by three, each begun after the end before it, none was
 	// seen to be.
-	EndsMost = 3
+	CrashThreshold = 3
 	// firstTerm is how long the first verdict on a content holds: well over the time for
 	// which clients repeat, and about what an operator takes to look. It doubles up to
 	// mostTerm with each end on trial after it.
@@ -104,8 +104,8 @@
 	records map[Fingerprint]*record
 	// running are this process's requests, by content, tried those suspects of them that
 	// are at a target, and elsewhere those that others say they have under way.
-	running   map[Fingerprint][]*Stay
-	tried     map[*Stay]fleet.Life
+	running   map[Fingerprint][]*ActiveRequest
+	tried     map[*ActiveRequest]fleet.Life
 	elsewhere map[Fingerprint]underWay
 	// broken are the answers that wait for evidence, and ended the lives of which it came.
 	broken []broken
@@ -133,7 +133,7 @@
 // New returns an empty table. It tells changed of each change; changed may be nil.
 func New(changed func(Change)) *Table {
 	return &Table{
-		records: map[Fingerprint]*record{}, running: map[Fingerprint][]*Stay{}, tried: map[*Stay]fleet.Life{}, elsewhere: map[Fingerprint]underWay{},
+		records: map[Fingerprint]*record{}, running: map[Fingerprint][]*ActiveRequest{}, tried: map[*ActiveRequest]fleet.Life{}, elsewhere: map[Fingerprint]underWay{},
 		ended: map[fleet.Life]time.Time{}, changed: changed,
 	}
 }
@@ -151,9 +151,9 @@
 	}
 }
 
-// Broke takes that a target broke off its answer to a request that it was sent at began.
+// RecordBrokenResponse takes that a target broke off its answer to a request that it was sent at began.
 // That counts once the target is known to have ended.
-func (t *Table) Broke(c Case, life fleet.Life, began, now time.Time) {
+func (t *Table) RecordBrokenResponse(c Case, life fleet.Life, began, now time.Time) {
 	t.mu.Lock()
 	defer t.unlock()
 	t.age(now)
@@ -179,18 +179,18 @@
 	if r := t.records[b.of.Content]; r != nil && r.has(life) && b.began.After(r.lastEnd(life.ID)) {
 		life.Born = b.began.UnixMilli()
 	}
-	t.count(b.of, life, Seen, now)
+	t.count(b.of, life, OriginLocal, now)
 }
 
-// Waits reports whether broken answers of a life wait for evidence.
-func (t *Table) Waits(life fleet.Life) bool {
+// AwaitsEvidence reports whether broken answers of a life wait for evidence.
+func (t *Table) AwaitsEvidence(life fleet.Life) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.ContainsFunc(t.broken, func(b broken) bool { return b.life.Same(life) })
 }
 
-// Ended takes the evidence that a life of a target has ended, and not as planned.
-func (t *Table) Ended(life fleet.Life, now time.Time) {
+// RecordCrash takes the evidence that a life of a target has ended, and not as planned.
+func (t *Table) RecordCrash(life fleet.Life, now time.Time) {
 	t.mu.Lock()
 	defer t.unlock()
 	t.age(now)
@@ -219,7 +219,7 @@
 // caller holds mu.
 func (t *Table) count(c Case, life fleet.Life, from Origin, now time.Time) {
 	r, added := t.hold(c, life, from, now)
-	if added && r.counted() >= EndsMost && !now.Before(r.until) {
+	if added && r.counted() >= CrashThreshold && !now.Before(r.until) {
 		t.convict(r, c, life, from, now)
 	}
 }
@@ -234,9 +234,9 @@
 	r.add(end{life: life, known: now})
 	r.at = now
 	t.version++
-	if from == Seen {
+	if from == OriginLocal {
 		r.Case, r.untold = c, toldTimes
-		t.change(Change{What: Suspected, Origin: from, Target: life, Ends: r.counted()}, c)
+		t.change(Change{Kind: Suspected, Origin: from, Target: life, Crashes: r.counted()}, c)
 	}
 	return r, true
 }
@@ -244,9 +244,9 @@
 // convict begins a verdict; the caller holds mu.
 func (t *Table) convict(r *record, c Case, life fleet.Life, from Origin, now time.Time) {
 	r.term = min(max(2*r.term, firstTerm), mostTerm)
-	r.until, r.expired, r.kept = now.Add(r.term), false, from == Kept
-	r.unkept = r.unkept || from == Seen
-	t.change(Change{What: Convicted, Origin: from, Target: life, Ends: r.counted(), Until: r.until}, c)
+	r.until, r.expired, r.kept = now.Add(r.term), false, from == OriginStore
+	r.unkept = r.unkept || from == OriginLocal
+	t.change(Change{Kind: Convicted, Origin: from, Target: life, Crashes: r.counted(), Until: r.until}, c)
 }
 
 func (t *Table) change(change Change, c Case) {
@@ -295,7 +295,7 @@
 		}
 	}
 	delete(t.records, least.Content)
-	t.change(Change{What: Dropped, Ends: least.counted()}, least.Case)
+	t.change(Change{Kind: Dropped, Crashes: least.counted()}, least.Case)
 }
 
 func (r *record) has(life fleet.Life) bool {
@@ -332,7 +332,7 @@
 }
 
 func (r *record) convicted(now time.Time) bool {
-	return r.counted() >= EndsMost && now.Before(r.until)
+	return r.counted() >= CrashThreshold && now.Before(r.until)
 }
 
 // discharge has no end count any more, and reports whether any did.
@@ -344,9 +344,9 @@
 	return had
 }
 
-// Served takes that a target gave a whole good answer to a content: what ended the
+// RecordSuccess takes that a target gave a whole good answer to a content: what ended the
 // others was not this.
-func (t *Table) Served(content Fingerprint, now time.Time) {
+func (t *Table) RecordSuccess(content Fingerprint, now time.Time) {
 	t.mu.Lock()
 	defer t.unlock()
 	t.broken = slices.DeleteFunc(t.broken, func(b broken) bool { return b.of.Content == content })
@@ -356,7 +356,7 @@
 	}
 	r.at, r.untold = now, toldTimes
 	r.endVerdict()
-	t.change(Change{What: Cleared, Origin: Seen}, r.Case)
+	t.change(Change{Kind: Cleared, Origin: OriginLocal}, r.Case)
 }
 
 // endVerdict ends a verdict. What the store keeps of it has to be lifted there too.
@@ -373,7 +373,7 @@
 		lapsed := !r.until.IsZero() && !now.Before(r.until)
 		if lapsed && !r.expired {
 			r.expired, r.at = true, now
-			t.change(Change{What: Expired, Ends: r.counted()}, r.Case)
+			t.change(Change{Kind: Expired, Crashes: r.counted()}, r.Case)
 		}
 		if !now.Before(r.until) && now.Sub(r.at) > suspectFor {
 			delete(t.records, content)
--- a/poison/table_test.go
+++ b/poison/table_test.go
@@ -21,14 +21,14 @@
 // ends has a target end under the contents given.
 func ends(t *Table, l fleet.Life, now time.Time, all ...Case) {
 	for _, c := range all {
-		t.Broke(c, l, now, now)
+		t.RecordBrokenResponse(c, l, now, now)
 	}
-	t.Ended(l, now)
+	t.RecordCrash(l, now)
 }
 
-func want(t *testing.T, table *Table, c Case, now time.Time, standing Standing) {
+func want(t *testing.T, table *Table, c Case, now time.Time, standing Status) {
 	t.Helper()
-	if got := table.Judge(c.Content, now).Standing; got != standing {
+	if got := table.Evaluate(c.Content, now).Status; got != standing {
 		t.Errorf("%s is %s, want %s", c.Request, got, standing)
 	}
 }
@@ -38,10 +38,10 @@
 func TestBrokenAnswersAloneSuspectNobody(t *testing.T) {
 	table, c := New(nil), named("x")
 	for i := range 10 {
-		table.Broke(c, life(i), start, start.Add(time.Duration(i)*time.Second))
+		table.RecordBrokenResponse(c, life(i), start, start.Add(time.Duration(i)*time.Second))
 	}
 	want(t, table, c, start.Add(10*time.Second), Free)
-	table.Ended(life(0), start.Add(10*time.Second))
+	table.RecordCrash(life(0), start.Add(10*time.Second))
 	want(t, table, c, start.Add(10*time.Second), Free)
 }
 
@@ -58,17 +58,17 @@
 		want(t, table, c, start, Suspect)
 	}
 	for _, c := range all[1:] {
-		table.Served(c.Content, start.Add(time.Second))
+		table.RecordSuccess(c.Content, start.Add(time.Second))
 		want(t, table, c, start.Add(time.Second), Free)
 	}
 	ends(table, life(1), start.Add(time.Second), guilty)
 	want(t, table, guilty, start.Add(time.Second), Suspect)
 	ends(table, life(2), start.Add(2*time.Second), guilty)
 	want(t, table, guilty, start.Add(2*time.Second), Refused)
-	if n := table.Refused(start.Add(2 * time.Second)); n != 1 {
+	if n := table.RefusedCount(start.Add(2 * time.Second)); n != 1 {
 		t.Errorf("%d contents count as refused", n)
 	}
-	if j := table.Judge(guilty.Content, start.Add(3*time.Second)); j.Ends != EndsMost || j.For != firstTerm-time.Second {
+	if j := table.Evaluate(guilty.Content, start.Add(3*time.Second)); j.Crashes != CrashThreshold || j.Remaining != firstTerm-time.Second {
 		t.Errorf("judged %+v", j)
 	}
 }
@@ -81,14 +81,14 @@
 		ends(table, life(i), start, hot)
 	}
 	want(t, table, hot, start, Refused)
-	table.Served(hot.Content, start.Add(100*time.Millisecond))
+	table.RecordSuccess(hot.Content, start.Add(100*time.Millisecond))
 	want(t, table, hot, start.Add(100*time.Millisecond), Free)
 	// The late words of others on the same ends do not bring the verdict back.
 	other := New(nil)
 	for i := range 5 {
 		ends(other, life(i), start, hot)
 	}
-	table.Heard(other.News(start), start.Add(200*time.Millisecond))
+	table.ApplyReports(other.NextReports(start), start.Add(200*time.Millisecond))
 	want(t, table, hot, start.Add(200*time.Millisecond), Free)
 }
 
@@ -97,34 +97,34 @@
 func TestSuspectsAreTriedOneAtATime(t *testing.T) {
 	table, other, c := New(nil), New(nil), named("x")
 	ends(table, life(0), start, c)
-	stay := table.Begin(c.Content)
+	stay := table.Track(c.Content)
 	want(t, table, c, start, Suspect)
-	stay.At(life(1))
+	stay.SentTo(life(1))
 	want(t, table, c, start, Waiting)
-	other.Heard(table.News(start), start)
+	other.ApplyReports(table.NextReports(start), start)
 	want(t, other, c, start, Waiting)
-	if apart := table.Judge(named("y").Content, start).Apart; apart != nil {
+	if apart := table.Evaluate(named("y").Content, start).Avoid; apart != nil {
 		t.Errorf("a free content is kept apart from %v", apart)
 	}
 	y := named("y")
 	ends(other, life(2), start, y)
-	if apart := other.Judge(y.Content, start).Apart; len(apart) != 1 || apart[0] != life(1) {
+	if apart := other.Evaluate(y.Content, start).Avoid; len(apart) != 1 || apart[0] != life(1) {
 		t.Errorf("another suspect is kept apart from %v", apart)
 	}
 	// A third one at the same target takes nothing from the word on the first.
 	z := named("z")
 	ends(table, life(0), start, z)
-	at := table.Begin(z.Content)
-	at.At(life(1))
-	other.Heard(table.News(start), start)
-	at.End()
+	at := table.Track(z.Content)
+	at.SentTo(life(1))
+	other.ApplyReports(table.NextReports(start), start)
+	at.Finish()
 	want(t, other, c, start, Waiting)
 	want(t, other, z, start, Waiting)
-	stay.Left()
+	stay.LeftTarget()
 	want(t, table, c, start, Suspect)
-	stay.End()
+	stay.Finish()
 	want(t, other, c, start, Waiting)
-	other.Heard(table.News(start), start)
+	other.ApplyReports(table.NextReports(start), start)
 	want(t, other, c, start, Suspect)
 	if len(table.running) != 0 || len(table.tried) != 0 {
 		t.Errorf("%d contents count as running", len(table.running))
@@ -135,9 +135,9 @@
 // target that spoilt it ends. What was served since is not held to that.
 func TestServedSinceIsNotHeldToALaterEnd(t *testing.T) {
 	table, c := New(nil), named("x")
-	table.Broke(c, life(0), start, start)
-	table.Served(c.Content, start.Add(time.Second))
-	table.Ended(life(0), start.Add(2*time.Second))
+	table.RecordBrokenResponse(c, life(0), start, start)
+	table.RecordSuccess(c.Content, start.Add(time.Second))
+	table.RecordCrash(life(0), start.Add(2*time.Second))
 	want(t, table, c, start.Add(2*time.Second), Free)
 }
 
@@ -145,14 +145,14 @@
 // later: what ends then is another matter.
 func TestEvidenceComesBeforeOrAfter(t *testing.T) {
 	table, early, late := New(nil), named("early"), named("late")
-	table.Ended(life(0), start)
-	table.Broke(early, life(0), start, start.Add(10*time.Millisecond))
+	table.RecordCrash(life(0), start)
+	table.RecordBrokenResponse(early, life(0), start, start.Add(10*time.Millisecond))
 	want(t, table, early, start.Add(10*time.Millisecond), Suspect)
-	table.Broke(late, life(1), start, start)
-	if !table.Waits(life(1)) {
+	table.RecordBrokenResponse(late, life(1), start, start)
+	if !table.AwaitsEvidence(life(1)) {
 		t.Error("a broken answer waits for no evidence")
 	}
-	table.Ended(life(1), start.Add(evidenceFor+time.Second))
+	table.RecordCrash(life(1), start.Add(evidenceFor+time.Second))
 	want(t, table, late, start.Add(evidenceFor+time.Second), Free)
 }
 
@@ -162,40 +162,40 @@
 	table, c := New(nil), named("x")
 	for i := range 3 {
 		sent := start.Add(time.Duration(i) * time.Second)
-		table.Broke(c, life(0), sent, sent.Add(100*time.Millisecond))
-		table.Ended(life(0), sent.Add(110*time.Millisecond))
-		table.Broke(c, life(0), sent, sent.Add(120*time.Millisecond))
-		if got := table.Judge(c.Content, sent).Ends; got != i+1 {
+		table.RecordBrokenResponse(c, life(0), sent, sent.Add(100*time.Millisecond))
+		table.RecordCrash(life(0), sent.Add(110*time.Millisecond))
+		table.RecordBrokenResponse(c, life(0), sent, sent.Add(120*time.Millisecond))
+		if got := table.Evaluate(c.Content, sent).Crashes; got != i+1 {
 			t.Errorf("%d ends count after %d", got, i+1)
 		}
 	}
 	// Two copies in one such life are one end.
 	sent := start.Add(3 * time.Second)
-	table.Broke(c, life(0), sent, sent.Add(100*time.Millisecond))
-	table.Broke(c, life(0), sent.Add(time.Millisecond), sent.Add(100*time.Millisecond))
-	table.Ended(life(0), sent.Add(110*time.Millisecond))
-	if got := table.Judge(c.Content, sent).Ends; got != 4 {
+	table.RecordBrokenResponse(c, life(0), sent, sent.Add(100*time.Millisecond))
+	table.RecordBrokenResponse(c, life(0), sent.Add(time.Millisecond), sent.Add(100*time.Millisecond))
+	table.RecordCrash(life(0), sent.Add(110*time.Millisecond))
+	if got := table.Evaluate(c.Content, sent).Crashes; got != 4 {
 		t.Errorf("%d ends count after 4, the last of two copies", got)
 	}
 	// A later life that is named is the same to all who see it end.
 	named1, named2 := life(0), life(0)
 	named1.Born, named2.Born = 500, 500
-	table.Broke(c, named1, sent.Add(time.Second), sent.Add(1100*time.Millisecond))
-	table.Ended(named2, sent.Add(1110*time.Millisecond))
+	table.RecordBrokenResponse(c, named1, sent.Add(time.Second), sent.Add(1100*time.Millisecond))
+	table.RecordCrash(named2, sent.Add(1110*time.Millisecond))
 	if got := table.records[c.Content].ends[4].life; got != named1 {
 		t.Errorf("the named life counts as %v", got)
 	}
 	// What breaks off in the next life waits for evidence of its own.
 	other := named("other")
-	table.Broke(other, life(0), sent.Add(500*time.Millisecond), sent.Add(600*time.Millisecond))
+	table.RecordBrokenResponse(other, life(0), sent.Add(500*time.Millisecond), sent.Add(600*time.Millisecond))
 	want(t, table, other, sent.Add(600*time.Millisecond), Free)
 }
 
 // A verdict lapses; the content is then tried alone, and one more end renews it for
 // twice as long. Served, it is free for good.
 func TestVerdictLapsesIntoATrial(t *testing.T) {
-	var told []What
-	table := New(func(c Change) { told = append(told, c.What) })
+	var told []ChangeKind
+	table := New(func(c Change) { told = append(told, c.Kind) })
 	c := named("x")
 	for i := range 3 {
 		ends(table, life(i), start, c)
@@ -204,12 +204,12 @@
 	table.Sweep(later)
 	want(t, table, c, later, Suspect)
 	ends(table, life(3), later, c)
-	if j := table.Judge(c.Content, later); j.Standing != Refused || j.For != 2*firstTerm {
+	if j := table.Evaluate(c.Content, later); j.Status != Refused || j.Remaining != 2*firstTerm {
 		t.Errorf("judged %+v", j)
 	}
-	table.Served(c.Content, later)
+	table.RecordSuccess(c.Content, later)
 	want(t, table, c, later, Free)
-	counts := map[What]int{}
+	counts := map[ChangeKind]int{}
 	for _, w := range told {
 		counts[w]++
 	}
@@ -230,13 +230,13 @@
 	for i := range 3 {
 		ends(table, life(i), start, c)
 	}
-	kept := table.Unkept(true, start.Add(othersAfter))[0]
+	kept := table.PendingWrites(true, start.Add(othersAfter))[0]
 	later := start.Add(firstTerm + time.Second)
 	table.Sweep(later)
 	reader, hearer := New(nil), New(nil)
-	reader.Read(kept, later)
+	reader.ApplyStored(kept, later)
 	want(t, reader, c, later, Suspect)
-	hearer.Heard(table.Held(later), later)
+	hearer.ApplyReports(table.BootstrapReports(later), later)
 	want(t, hearer, c, later, Suspect)
 	ends(hearer, life(3), later, c)
 	want(t, hearer, c, later, Refused)
@@ -253,9 +253,9 @@
 	ends(table, life(3), start, other)
 	for i := range 3 * recordsMost {
 		c := named(fmt.Sprint("flood ", i))
-		table.Broke(c, life(4), start, start.Add(time.Duration(i)))
+		table.RecordBrokenResponse(c, life(4), start, start.Add(time.Duration(i)))
 		if i%100 == 0 {
-			table.Ended(life(4), start.Add(time.Duration(i)))
+			table.RecordCrash(life(4), start.Add(time.Duration(i)))
 		}
 	}
 	if n := len(table.records); n > customerMost+1 {
@@ -281,36 +281,36 @@
 	for i := range 3 {
 		ends(table, life(i), start, c)
 	}
-	if early := table.Unkept(true, start); len(early) != 0 {
+	if early := table.PendingWrites(true, start); len(early) != 0 {
 		t.Errorf("%d verdicts are written before they settle", len(early))
 	}
 	now := start.Add(time.Second)
-	unkept := table.Unkept(false, now)
+	unkept := table.PendingWrites(false, now)
 	if len(unkept) != 1 {
 		t.Fatalf("%d verdicts are to be written", len(unkept))
 	}
-	table.Written(unkept[0], 7)
-	if again := table.Unkept(true, now.Add(time.Minute)); len(again) != 0 {
+	table.MarkWritten(unkept[0], 7)
+	if again := table.PendingWrites(true, now.Add(time.Minute)); len(again) != 0 {
 		t.Error("a verdict that was written is written again")
 	}
 	value, err := unkept[0].Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept, err := Decode(c.Content, value, 7, now)
+	kept, err := DecodeVerdict(c.Content, value, 7, now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	fresh := New(nil)
-	fresh.Read(kept, now)
+	fresh.ApplyStored(kept, now)
 	want(t, fresh, c, now, Refused)
 	kept.Lifted = true
-	fresh.Read(kept, now)
+	fresh.ApplyStored(kept, now)
 	want(t, fresh, c, now, Free)
-	fresh.Heard(table.News(now), now)
+	fresh.ApplyReports(table.NextReports(now), now)
 	want(t, fresh, c, now, Free)
 	want(t, table, c, now, Refused)
-	table.Read(kept, now)
+	table.ApplyStored(kept, now)
 	want(t, table, c, now, Free)
 }
 
@@ -321,12 +321,12 @@
 	for i := range 3 {
 		ends(witness, life(i), start, c)
 	}
-	other.Heard(witness.News(start), start)
+	other.ApplyReports(witness.NextReports(start), start)
 	want(t, other, c, start, Refused)
-	if n := len(other.Unkept(false, start.Add(time.Minute))); n != 0 {
+	if n := len(other.PendingWrites(false, start.Add(time.Minute))); n != 0 {
 		t.Errorf("%d verdicts are written by one who neither saw the end nor stands in", n)
 	}
-	if n := len(other.Unkept(true, start.Add(othersAfter))); n != 1 {
+	if n := len(other.PendingWrites(true, start.Add(othersAfter))); n != 1 {
 		t.Errorf("%d verdicts are written by one who stands in", n)
 	}
 }
@@ -338,10 +338,10 @@
 		ends(table, life(i), start, c)
 	}
 	now := start.Add(othersAfter)
-	table.Written(table.Unkept(false, now)[0], 7)
-	table.Missing(c.Content)
+	table.MarkWritten(table.PendingWrites(false, now)[0], 7)
+	table.MarkMissing(c.Content)
 	want(t, table, c, now, Refused)
-	if anew := table.Unkept(true, now); len(anew) != 1 || anew[0].Revision != 0 {
+	if anew := table.PendingWrites(true, now); len(anew) != 1 || anew[0].Revision != 0 {
 		t.Errorf("to be written: %+v", anew)
 	}
 }
@@ -353,9 +353,9 @@
 		ends(table, life(i), start, c)
 	}
 	now := start.Add(time.Second)
-	table.Written(table.Unkept(false, now)[0], 7)
-	table.Served(c.Content, now)
-	lifts := table.Unkept(false, now.Add(time.Second))
+	table.MarkWritten(table.PendingWrites(false, now)[0], 7)
+	table.RecordSuccess(c.Content, now)
+	lifts := table.PendingWrites(false, now.Add(time.Second))
 	if len(lifts) != 1 || !lifts[0].Lifted || lifts[0].Revision != 7 {
 		t.Errorf("to be written: %+v", lifts)
 	}
@@ -364,12 +364,12 @@
 func TestDecodeLeavesOutWhatIsNoVerdict(t *testing.T) {
 	content := named("x").Content
 	for _, bad := range []string{"", "x", "[]", `{"until_unix_ms":1}`, `{"ended":[{"target":"a"},{"target":"b"}]}`, `{"ended":7}`} {
-		if _, err := Decode(content, []byte(bad), 1, start); err == nil {
+		if _, err := DecodeVerdict(content, []byte(bad), 1, start); err == nil {
 			t.Errorf("%q was taken for a verdict", bad)
 		}
 	}
 	far := `{"ended":[{"target":"a"},{"target":"b"},{"target":"c"}],"until_unix_ms":99999999999999}`
-	if v, err := Decode(content, []byte(far), 1, start); err != nil || v.Until.After(start.Add(mostTerm)) {
+	if v, err := DecodeVerdict(content, []byte(far), 1, start); err != nil || v.Until.After(start.Add(mostTerm)) {
 		t.Errorf("%v, %v", v.Until, err)
 	}
 }
@@ -387,22 +387,22 @@
 			i := rapid.IntRange(0, 2).Draw(r, "process")
 			c := contents[rapid.IntRange(0, 1).Draw(r, "content")]
 			if rapid.IntRange(0, 4).Draw(r, "kind") == 0 {
-				tables[i].Served(c.Content, now)
+				tables[i].RecordSuccess(c.Content, now)
 			} else {
 				ends(tables[i], life(rapid.IntRange(0, 5).Draw(r, "life")), now, c)
 			}
-			words = append(words, tables[i].News(now))
+			words = append(words, tables[i].NextReports(now))
 		}
 		for _, table := range tables {
 			for _, i := range rapid.Permutation(indices(len(words))).Draw(r, "order") {
-				table.Heard(words[i], now)
-				table.Heard(words[i], now)
+				table.ApplyReports(words[i], now)
+				table.ApplyReports(words[i], now)
 			}
 		}
 		for _, c := range contents {
-			n := tables[0].Judge(c.Content, now)
+			n := tables[0].Evaluate(c.Content, now)
 			for _, table := range tables[1:] {
-				if got := table.Judge(c.Content, now); got.Ends != n.Ends || got.Standing != n.Standing {
+				if got := table.Evaluate(c.Content, now); got.Crashes != n.Crashes || got.Status != n.Status {
 					r.Fatalf("%s: %+v and %+v", c.Request, n, got)
 				}
 			}
@@ -426,13 +426,13 @@
 	table, guilty := New(nil), named("guilty")
 	for i := range 12 {
 		for j := range 60 {
-			table.Broke(named(fmt.Sprint(i, "-", j)), life(i), start, start)
+			table.RecordBrokenResponse(named(fmt.Sprint(i, "-", j)), life(i), start, start)
 		}
-		table.Ended(life(i), start)
+		table.RecordCrash(life(i), start)
 	}
 	ends(table, life(20), start, guilty)
 	ends(table, life(21), start, guilty)
-	told, first := 0, table.News(start)
+	told, first := 0, table.NextReports(start)
 	if len(first) == 0 || first[0].Content != guilty.Content {
 		t.Error("the one that ended two targets is not told first")
 	}
@@ -442,12 +442,12 @@
 	const seconds, pulses = 4, 20
 	for i := range seconds * pulses {
 		now := start.Add(time.Duration(i+1) * time.Second / pulses)
-		for _, r := range table.News(now) {
+		for _, r := range table.NextReports(now) {
 			told += r.bytes()
 		}
-		stay := table.Begin(named("0-0").Content)
-		stay.At(life(30))
-		stay.End()
+		stay := table.Track(named("0-0").Content)
+		stay.SentTo(life(30))
+		stay.Finish()
 	}
 	if most := newsBurst + seconds*newsRate + reportBytes + 2*endBytes; told > most {
 		t.Errorf("%d bytes are told in %d seconds, over %d", told, seconds, most)
--- a/poison/verdict.go
+++ b/poison/verdict.go
@@ -13,8 +13,8 @@
 // all were killed at once, know of it from there.
 type Verdict struct {
 	Case
-	Ends  []fleet.Life
-	Until time.Time
+	Crashed []fleet.Life
+	Until   time.Time
 	// Lifted is set once the content has been served since, or an operator said so. A
 	// verdict that is missing lifts nothing: the store may have lost it.
 	Lifted bool
@@ -32,9 +32,9 @@
 	othersAfter = 2 * time.Second
 )
 
-// Unkept returns the verdicts that this process is to write; forAll is set where it
+// PendingWrites returns the verdicts that this process is to write; forAll is set where it
 // stands in for the others.
-func (t *Table) Unkept(forAll bool, now time.Time) []Verdict {
+func (t *Table) PendingWrites(forAll bool, now time.Time) []Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Verdict
@@ -53,14 +53,14 @@
 	v := Verdict{Case: r.Case, Until: r.until, Lifted: r.counted() == 0, Revision: r.revision}
 	for _, e := range r.ends {
 		if v.Lifted || !e.discharged {
-			v.Ends = append(v.Ends, e.life)
+			v.Crashed = append(v.Crashed, e.life)
 		}
 	}
 	return v
 }
 
-// Written notes that the store has what Unkept returned.
-func (t *Table) Written(v Verdict, revision int64) {
+// MarkWritten notes that the store has what Unkept returned.
+func (t *Table) MarkWritten(v Verdict, revision int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.records[v.Content]; r != nil {
@@ -68,9 +68,9 @@
 	}
 }
 
-// Missing notes that the store has no verdict on a content. One that holds is written
+// MarkMissing notes that the store has no verdict on a content. One that holds is written
 // anew: the store may have lost it.
-func (t *Table) Missing(content Fingerprint) {
+func (t *Table) MarkMissing(content Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.records[content]; r != nil {
@@ -78,19 +78,19 @@
 	}
 }
 
-// Read takes a verdict that the store has.
-func (t *Table) Read(v Verdict, now time.Time) {
+// ApplyStored takes a verdict that the store has.
+func (t *Table) ApplyStored(v Verdict, now time.Time) {
 	t.mu.Lock()
 	defer t.unlock()
 	if v.Lifted {
 		t.lift(v, now)
 		return
 	}
-	report := Report{Case: v.Case, For: v.Until.Sub(now)}
-	for _, life := range v.Ends {
-		report.Ends = append(report.Ends, End{Life: life})
+	report := Report{Case: v.Case, Remaining: v.Until.Sub(now)}
+	for _, life := range v.Crashed {
+		report.Crashes = append(report.Crashes, Crash{Life: life})
 	}
-	t.heard(report, Kept, now)
+	t.heard(report, OriginStore, now)
 	if r := t.records[v.Content]; r != nil {
 		r.kept, r.revision = true, v.Revision
 		r.unkept = r.unkept && r.counted() == 0
@@ -99,12 +99,12 @@
 
 // lift ends a verdict by the store's word; the caller holds mu.
 func (t *Table) lift(v Verdict, now time.Time) {
-	for _, life := range v.Ends {
+	for _, life := range v.Crashed {
 		t.discharge(v.Case, life, now)
 	}
 	r := t.record(v.Case, now)
 	if r.discharge() || !r.until.IsZero() {
-		t.change(Change{What: Lifted, Origin: Kept}, r.Case)
+		t.change(Change{Kind: Lifted, Origin: OriginStore}, r.Case)
 	}
 	r.endVerdict()
 	r.unkept, r.kept, r.revision = false, true, v.Revision
@@ -127,7 +127,7 @@
 // Encode returns the value under which a verdict is kept.
 func (v Verdict) Encode() ([]byte, error) {
 	w := wireVerdict{Service: v.Service, Customer: v.Customer, Request: v.Request, UntilMS: v.Until.UnixMilli(), Lifted: v.Lifted}
-	for _, life := range v.Ends {
+	for _, life := range v.Crashed {
 		w.Ended = append(w.Ended, wireLife{Target: life.ID, Born: life.Born})
 	}
 	return json.Marshal(w)
@@ -135,9 +135,9 @@
 
 var errNoEnds = errors.New("it names no target that ended")
 
-// Decode reads the value that is kept of a content. A verdict that could not be meant,
+// DecodeVerdict reads the value that is kept of a content. A verdict that could not be meant,
 // such as one without ends or for years, is none.
-func Decode(content Fingerprint, value []byte, revision int64, now time.Time) (Verdict, error) {
+func DecodeVerdict(content Fingerprint, value []byte, revision int64, now time.Time) (Verdict, error) {
 	var w wireVerdict
 	if err := json.Unmarshal(value, &w); err != nil {
 		return Verdict{}, fmt.Errorf("read a verdict: %w", err)
@@ -147,10 +147,10 @@
 		Until: time.UnixMilli(w.UntilMS), Lifted: w.Lifted, Revision: revision,
 	}
 	for _, life := range w.Ended {
-		v.Ends = append(v.Ends, fleet.Life{ID: life.Target, Born: life.Born})
+		v.Crashed = append(v.Crashed, fleet.Life{ID: life.Target, Born: life.Born})
 	}
-	if !v.Lifted && len(v.Ends) < EndsMost {
-		return Verdict{}, fmt.Errorf("read a verdict: %w; %d are needed", errNoEnds, EndsMost)
+	if !v.Lifted && len(v.Crashed) < CrashThreshold {
+		return Verdict{}, fmt.Errorf("read a verdict: %w; %d are needed", errNoEnds, CrashThreshold)
 	}
 	if latest := now.Add(mostTerm); v.Until.After(latest) {
 		v.Until = latest
--- a/pulses/held.go
+++ b/pulses/held.go
@@ -13,13 +13,13 @@
 	out := make([]*keelv1.SuspectContent, 0, len(all))
 	for _, r := range all {
 		w := &keelv1.SuspectContent{
-			Fingerprint: r.Content[:], Service: r.Service, Customer: r.Customer, Request: r.Request, RefusedMs: uint64(r.For.Milliseconds()),
+			Fingerprint: r.Content[:], Service: r.Service, Customer: r.Customer, Request: r.Request, RefusedMs: uint64(r.Remaining.Milliseconds()),
 		}
-		for _, e := range r.Ends {
-			w.Ends = append(w.Ends, &keelv1.TargetLife{Target: e.Life.ID, Born: e.Life.Born, Discharged: e.Discharged})
+		for _, e := range r.Crashes {
+			w.Ends = append(w.Ends, &keelv1.TargetLife{Target: e.Life.ID, Born: e.Life.Born, Discharged: e.Cleared})
 		}
-		if r.At != nil {
-			w.UnderWay = &keelv1.TargetLife{Target: r.At.ID, Born: r.At.Born}
+		if r.RunningOn != nil {
+			w.UnderWay = &keelv1.TargetLife{Target: r.RunningOn.ID, Born: r.RunningOn.Born}
 		}
 		out = append(out, w)
 	}
@@ -34,14 +34,14 @@
 			continue
 		}
 		r := poison.Report{
-			Case: poison.Case{Content: poison.Fingerprint(w.Fingerprint), Service: w.Service, Customer: w.Customer, Request: w.Request},
-			For:  time.Duration(min(w.RefusedMs, refusedMost)) * time.Millisecond,
+			Case:      poison.Case{Content: poison.Fingerprint(w.Fingerprint), Service: w.Service, Customer: w.Customer, Request: w.Request},
+			Remaining: time.Duration(min(w.RefusedMs, refusedMost)) * time.Millisecond,
 		}
 		for _, e := range w.Ends {
-			r.Ends = append(r.Ends, poison.End{Life: fleet.Life{ID: e.Target, Born: e.Born}, Discharged: e.Discharged})
+			r.Crashes = append(r.Crashes, poison.Crash{Life: fleet.Life{ID: e.Target, Born: e.Born}, Cleared: e.Discharged})
 		}
 		if w.UnderWay != nil {
-			r.At = &fleet.Life{ID: w.UnderWay.Target, Born: w.UnderWay.Born}
+			r.RunningOn = &fleet.Life{ID: w.UnderWay.Target, Born: w.UnderWay.Born}
 		}
 		out = append(out, r)
 	}
--- a/pulses/limits.go
+++ b/pulses/limits.go
@@ -14,16 +14,16 @@
 
 // EncodeLimits divides news on limits into datagrams; the first one is there without
 // words too, as the sign that its sender is there.
-func EncodeLimits(n quota.News) []*keelv1.LimitNews {
+func EncodeLimits(n quota.UsageUpdate) []*keelv1.LimitNews {
 	var out []*keelv1.LimitNews
-	for from := 0; from == 0 || from < len(n.Words); from += limitWords {
-		w := &keelv1.LimitNews{UpUs: Micros(n.Up), Heard: uint32(n.Heard)}
-		for _, word := range n.Words[from:min(len(n.Words), from+limitWords)] {
+	for from := 0; from == 0 || from < len(n.Reports); from += limitWords {
+		w := &keelv1.LimitNews{UpUs: Micros(n.Uptime), Heard: uint32(n.Processes)}
+		for _, word := range n.Reports[from:min(len(n.Reports), from+limitWords)] {
 			w.Customer = append(w.Customer, word.Customer)
 			w.Total = append(w.Total, int64(word.Total))
 			w.Demand = append(w.Demand, uint64(max(0, word.Demand)))
 			w.Level = append(w.Level, int64(word.Level))
-			w.Added = append(w.Added, int64(word.Added))
+			w.Added = append(w.Added, int64(word.Increase))
 		}
 		out = append(out, w)
 	}
@@ -32,18 +32,18 @@
 
 // DecodeLimits leaves out customers without figures of their own, as in a datagram of
 // another shape.
-func DecodeLimits(sender string, w *keelv1.LimitNews) quota.News {
-	n := quota.News{Sender: sender, Up: FromMicros(w.UpUs), Heard: int(w.Heard)}
+func DecodeLimits(sender string, w *keelv1.LimitNews) quota.UsageUpdate {
+	n := quota.UsageUpdate{Sender: sender, Uptime: FromMicros(w.UpUs), Processes: int(w.Heard)}
 	for i := range min(len(w.Customer), len(w.Total), len(w.Demand), len(w.Level), len(w.Added)) {
-		n.Words = append(n.Words, quota.Word{
-			Customer: w.Customer[i], Total: float64(w.Total[i]), Added: float64(w.Added[i]), Demand: float64(w.Demand[i]), Level: float64(w.Level[i]),
+		n.Reports = append(n.Reports, quota.UsageReport{
+			Customer: w.Customer[i], Total: float64(w.Total[i]), Increase: float64(w.Added[i]), Demand: float64(w.Demand[i]), Level: float64(w.Level[i]),
 		})
 	}
 	return n
 }
 
 // limits packs news on limits, of which each datagram bears one part.
-func (p *packing) limits(n quota.News, put func(*keelv1.Pulse, *keelv1.LimitNews)) {
+func (p *packing) limits(n quota.UsageUpdate, put func(*keelv1.Pulse, *keelv1.LimitNews)) {
 	for i, w := range EncodeLimits(n) {
 		if i > 0 {
 			p.next()
--- a/pulses/wire.go
+++ b/pulses/wire.go
@@ -27,12 +27,12 @@
 	Findings []fleet.Finding
 	Caches   []fleet.CacheNews
 	Saves    []fleet.Saves
-	Engines  []forecast.Word
+	Engines  []forecast.Report
 	Suspects []poison.Report
 	Namings  []fleet.Naming
-	Limits   quota.News
+	Limits   quota.UsageUpdate
 	// TargetLimits is what was sent to targets that name limits.
-	TargetLimits quota.News
+	TargetLimits quota.UsageUpdate
 	// mark and view are of the shared watch of the store.
 	SentAt    clock.BootTime
 	StoreView *keelv1.StoreView
@@ -274,13 +274,13 @@
 }
 
 // EncodeEngines encodes what was observed of engines.
-func EncodeEngines(all []forecast.Word) []*keelv1.EngineWord {
+func EncodeEngines(all []forecast.Report) []*keelv1.EngineWord {
 	out := make([]*keelv1.EngineWord, 0, len(all))
 	for _, word := range all {
 		w := &keelv1.EngineWord{
-			Service: word.Service, Weight: float32(word.Sums.Weight), LoadMs: uint32(word.Loads.Alone.Milliseconds()), LoadsSeen: uint32(word.Loads.Seen),
-			Light: float32(word.Mix.Light), Heavy: float32(word.Mix.Heavy), Heavies: float32(word.Mix.Heavies), Longs: float32(word.Mix.Longs),
-			RunSeconds: float32(word.Runs.Seconds), RunTokens: float32(word.Runs.Tokens),
+			Service: word.Service, Weight: float32(word.Sums.Weight), LoadMs: uint32(word.WeightLoads.IdleDuration.Milliseconds()), LoadsSeen: uint32(word.WeightLoads.Samples),
+			Light: float32(word.OfferedLoad.Light), Heavy: float32(word.OfferedLoad.Heavy), Heavies: float32(word.OfferedLoad.HeavyRate), Longs: float32(word.OfferedLoad.LongRate),
+			RunSeconds: float32(word.SlotHold.Seconds), RunTokens: float32(word.SlotHold.Tokens),
 		}
 		for _, x := range word.Sums.Cross {
 			w.Cross = append(w.Cross, float32(x))
@@ -294,16 +294,16 @@
 }
 
 // DecodeEngines leaves out words of another shape, such as a later version's.
-func DecodeEngines(all []*keelv1.EngineWord) []forecast.Word {
-	out := make([]forecast.Word, 0, len(all))
+func DecodeEngines(all []*keelv1.EngineWord) []forecast.Report {
+	out := make([]forecast.Report, 0, len(all))
 	for _, w := range all {
-		word := forecast.Word{
+		word := forecast.Report{
 			Service: w.Service,
-			Loads: forecast.Loads{
-				Alone: time.Duration(w.LoadMs) * time.Millisecond, Seen: int(w.LoadsSeen),
+			WeightLoads: forecast.WeightLoads{
+				IdleDuration: time.Duration(w.LoadMs) * time.Millisecond, Samples: int(w.LoadsSeen),
 			},
-			Mix:  forecast.Mix{Light: float64(w.Light), Heavy: float64(w.Heavy), Heavies: float64(w.Heavies), Longs: float64(w.Longs)},
-			Runs: forecast.Ratio{Seconds: float64(w.RunSeconds), Tokens: float64(w.RunTokens)},
+			OfferedLoad: forecast.OfferedLoad{Light: float64(w.Light), Heavy: float64(w.Heavy), HeavyRate: float64(w.Heavies), LongRate: float64(w.Longs)},
+			SlotHold:    forecast.TimePerToken{Seconds: float64(w.RunSeconds), Tokens: float64(w.RunTokens)},
 		}
 		if len(w.Cross) != len(word.Sums.Cross) || len(w.Right) != len(word.Sums.Right) {
 			continue
@@ -329,7 +329,7 @@
 // TruncateTo cuts suspects, findings, saves and news of caches, in this order, to what fits so many
 // bytes, and returns about how many are used. Of each kind the newest stay.
 func (p *Update) TruncateTo(room int) (used int) {
-	p.Suspects = newest(p.Suspects, &used, room, func(r poison.Report) int { return 100 + 30*len(r.Ends) })
+	p.Suspects = newest(p.Suspects, &used, room, func(r poison.Report) int { return 100 + 30*len(r.Crashes) })
 	p.Findings = newest(p.Findings, &used, room, func(f fleet.Finding) int { return 60 + PartBytes*len(f.Parts) })
 	p.Saves = newest(p.Saves, &used, room, func(s fleet.Saves) int { return 24 + 8*len(s.Parts) })
 	p.Caches = newest(p.Caches, &used, room, func(n fleet.CacheNews) int { return 48 + PartBytes*len(n.Stored) + 8*len(n.Dropped) })
--- a/quota/account.go
+++ b/quota/account.go
@@ -78,7 +78,7 @@
 	minority = 0.5
 )
 
-func (b *Book) newAccount(name string, l Limit, now time.Time) *account {
+func (b *Limiter) newAccount(name string, l Limit, now time.Time) *account {
 	a := &account{name: name, limit: l, at: now, slicedAt: now, debtMost: l.Burst + b.bounds.margin(l), others: map[*sender]*use{}}
 	// Others may have spent all: were all killed at once, each would begin with a full
 	// burst of its own.
@@ -92,7 +92,7 @@
 }
 
 // change puts another limit into force.
-func (b *Book) change(a *account, l Limit) {
+func (b *Limiter) change(a *account, l Limit) {
 	if l == a.limit {
 		return
 	}
@@ -108,7 +108,7 @@
 }
 
 // refresh brings an account forward to now; the caller holds mu.
-func (b *Book) refresh(a *account, now time.Time) {
+func (b *Limiter) refresh(a *account, now time.Time) {
 	part := b.part(now)
 	a.refill(part, now)
 	passed := now.Sub(a.slicedAt).Seconds()
@@ -144,7 +144,7 @@
 }
 
 // held returns how far over its limit a customer may be known to be.
-func (b *Book) held(a *account) float64 {
+func (b *Limiter) held(a *account) float64 {
 	return marginHeld * b.bounds.margin(a.limit)
 }
 
@@ -159,7 +159,7 @@
 
 // share returns this process's part of what is asked of a customer's limit, among the
 // processes that it hears.
-func (b *Book) share(a *account, now time.Time) float64 {
+func (b *Limiter) share(a *account, now time.Time) float64 {
 	heard := float64(b.heardCount(now))
 	if b.off[policy.DemandShares] {
 		return 1 / heard
@@ -205,7 +205,7 @@
 
 // room returns whether one more request may be let in; the caller holds mu and has
 // refreshed the account.
-func (b *Book) room(a *account, cost float64, now time.Time) room {
+func (b *Limiter) room(a *account, cost float64, now time.Time) room {
 	part := b.part(now)
 	grows := a.limit.Rate * part
 	if b.off[policy.SharedUsage] {
@@ -234,7 +234,7 @@
 
 // unheard returns what the others may have let in since they were heard last. One that
 // is late may be cut off, and what it is asked may have grown with what is asked here.
-func (b *Book) unheard(a *account, now time.Time) float64 {
+func (b *Limiter) unheard(a *account, now time.Time) float64 {
 	sum, own := 0.0, a.asked()
 	for _, s := range b.senders {
 		if !s.fresh(now) {
--- a/quota/book.go
+++ b/quota/book.go
@@ -9,9 +9,9 @@
 	"acaciakeel/prefix"
 )
 
-// Book holds the customers' accounts at one process. It is safe for concurrent use.
-type Book struct {
-	bounds Bounds
+// Limiter holds the customers' accounts at one process. It is safe for concurrent use.
+type Limiter struct {
+	bounds Tolerance
 	off    policy.Disabled
 	// leased reports whether the others count on this process being there.
 	leased func() bool
@@ -39,10 +39,10 @@
 	random  *rand.Rand
 }
 
-// NewBook returns the book of a process that starts now. leased reports whether the
+// NewLimiter returns the book of a process that starts now. leased reports whether the
 // other processes still count this one in.
-func NewBook(b Bounds, off policy.Disabled, leased func() bool, now time.Time) *Book {
-	return &Book{
+func NewLimiter(b Tolerance, off policy.Disabled, leased func() bool, now time.Time) *Limiter {
+	return &Limiter{
 		bounds: b, off: off, leased: leased, start: now, members: 1,
 		accounts: map[uint64]*account{}, names: map[string]uint64{}, peers: map[string]*sender{}, far: map[int]*sender{}, toldFar: map[int]time.Time{},
 	}
@@ -51,7 +51,7 @@
 // Stagger has the slices of new accounts, of which each request counts so much, begin
 // with a random part of one as debt. Without it each of many processes lets one request
 // in at the same moment once an account is limited. It is called before the book is used.
-func (b *Book) Stagger(each float64, random *rand.Rand) {
+func (b *Limiter) Stagger(each float64, random *rand.Rand) {
 	b.stagger, b.random = each, random
 }
 
@@ -60,13 +60,13 @@
 const settled = time.Second
 
 // settling reports whether the process has just started; the caller holds mu.
-func (b *Book) settling(now time.Time) bool {
+func (b *Limiter) settling(now time.Time) bool {
 	return now.Sub(b.start) < settled
 }
 
 // SetLimits sets the limits of all customers by their names. What a customer has left
 // changes in proportion to its limit.
-func (b *Book) SetLimits(limits map[string]Limit, now time.Time) {
+func (b *Limiter) SetLimits(limits map[string]Limit, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	names := make(map[string]uint64, len(limits))
@@ -90,14 +90,14 @@
 }
 
 // SetMembers sets how many processes serve, this one included.
-func (b *Book) SetMembers(n int) {
+func (b *Limiter) SetMembers(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.members = max(1, n)
 }
 
-// SetUsual sets how many processes there have been lately.
-func (b *Book) SetUsual(n int) {
+// SetRecentMembers sets how many processes there have been lately.
+func (b *Limiter) SetRecentMembers(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.usual = n
@@ -105,7 +105,7 @@
 
 // expected returns how many processes may be there: one that has just started knows of
 // few yet. The caller holds mu.
-func (b *Book) expected(now time.Time) int {
+func (b *Limiter) expected(now time.Time) int {
 	if b.settling(now) {
 		return max(b.members, b.usual)
 	}
@@ -115,14 +115,14 @@
 // Charge is what one request counts at its customer's account; a nil Charge is that
 // of a customer without a limit. It is not safe for concurrent use.
 type Charge struct {
-	book  *Book
+	book  *Limiter
 	id    uint64
 	cost  float64
 	times int
 }
 
-// Begin lets one request of a customer in, or returns false and when to come back.
-func (b *Book) Begin(customer string, size Size, now time.Time) (charge *Charge, wait time.Duration, ok bool) {
+// Admit lets one request of a customer in, or returns false and when to come back.
+func (b *Limiter) Admit(customer string, size Size, now time.Time) (charge *Charge, wait time.Duration, ok bool) {
 	if b.off[policy.CustomerLimits] {
 		return nil, 0, true
 	}
@@ -146,9 +146,9 @@
 	return &Charge{book: b, id: id, cost: cost, times: 1}, 0, true
 }
 
-// Ran sets how many of the request's sends may have run or may yet run: each counts
+// SetExecutions sets how many of the request's sends may have run or may yet run: each counts
 // once, and what the customer was charged for others it gets back.
-func (c *Charge) Ran(times int) {
+func (c *Charge) SetExecutions(times int) {
 	if c == nil || times == c.times {
 		return
 	}
--- a/quota/book_test.go
+++ b/quota/book_test.go
@@ -12,8 +12,8 @@
 var begin = time.Unix(1000, 0)
 
 // book returns the book of one process that has been there for long, of so many.
-func book(members int) *Book {
-	b := NewBook(Bounds{Window: 8 * time.Second}, nil, func() bool { return true }, begin.Add(-time.Minute))
+func book(members int) *Limiter {
+	b := NewLimiter(Tolerance{Window: 8 * time.Second}, nil, func() bool { return true }, begin.Add(-time.Minute))
 	b.SetMembers(members)
 	return b
 }
@@ -23,25 +23,25 @@
 func limits(l Limit) map[string]Limit { return map[string]Limit{"c": l} }
 
 // left returns what customer c has left at a book.
-func left(t *testing.T, b *Book, now time.Time) float64 {
+func left(t *testing.T, b *Limiter, now time.Time) float64 {
 	t.Helper()
-	uses := b.State(now).Uses
+	uses := b.State(now).Customers
 	if len(uses) != 1 {
 		t.Fatalf("%d customers have limits, want 1", len(uses))
 	}
-	return uses[0].Left
+	return uses[0].Remaining
 }
 
 // Guards against customers that pay for what never ran, or run twice for once.
 func TestChargeFollowsWhatRan(t *testing.T) {
 	b := book(1)
 	b.SetLimits(limits(Limit{Rate: 100, Burst: 1000, Unit: Tokens}), begin)
-	charge, _, ok := b.Begin("c", tokens(300), begin)
+	charge, _, ok := b.Admit("c", tokens(300), begin)
 	if !ok {
 		t.Fatal("refused within the limit")
 	}
 	for _, step := range []struct{ ran, left int }{{1, 700}, {2, 400}, {0, 1000}} {
-		charge.Ran(step.ran)
+		charge.SetExecutions(step.ran)
 		if got := left(t, b, begin); got != float64(step.left) {
 			t.Errorf("after %d runs %v are left, want %d", step.ran, got, step.left)
 		}
@@ -50,7 +50,7 @@
 
 // Guards against requests that count nothing because they hide their size.
 func TestNoSizeIsFree(t *testing.T) {
-	l := Limit{Rate: 100, Burst: 1000, Unit: Tokens, Uncounted: 200}
+	l := Limit{Rate: 100, Burst: 1000, Unit: Tokens, DefaultTokens: 200}
 	for _, c := range []struct {
 		size Size
 		want float64
@@ -71,7 +71,7 @@
 	if err := good.Check(); err != nil {
 		t.Error(err)
 	}
-	for _, l := range []Limit{{Rate: -1, Unit: Tokens}, {Burst: math.Inf(1), Unit: Tokens}, {Uncounted: math.NaN(), Unit: Tokens}, {Rate: 1, Unit: "words"}, {Rate: 1}} {
+	for _, l := range []Limit{{Rate: -1, Unit: Tokens}, {Burst: math.Inf(1), Unit: Tokens}, {DefaultTokens: math.NaN(), Unit: Tokens}, {Rate: 1, Unit: "words"}, {Rate: 1}} {
 		if l.Check() == nil {
 			t.Errorf("%+v passes", l)
 		}
@@ -81,17 +81,17 @@
 // Guards against a full burst anew at each process of many that were killed together.
 func TestProcessesThatStartBringNoBurst(t *testing.T) {
 	l := Limit{Rate: 100, Burst: 1000, Unit: Tokens}
-	b := NewBook(Bounds{}, nil, func() bool { return true }, begin)
-	b.SetUsual(4)
+	b := NewLimiter(Tolerance{}, nil, func() bool { return true }, begin)
+	b.SetRecentMembers(4)
 	b.SetLimits(limits(l), begin)
-	if _, wait, ok := b.Begin("c", tokens(50), begin); ok || wait < 200*time.Millisecond {
+	if _, wait, ok := b.Admit("c", tokens(50), begin); ok || wait < 200*time.Millisecond {
 		t.Errorf("let in %v with nothing saved up, told to come back after %v", ok, wait)
 	}
 	// It expects three others, whose parts of the limit are not its own.
 	if got := left(t, b, begin.Add(800*time.Millisecond)); got != 20 {
 		t.Errorf("%v are left after 0.8 s, want a quarter of 80", got)
 	}
-	b.Heard(News{Sender: "old", Up: time.Hour, Words: []Word{{Customer: b.names["c"], Total: 5000, Level: 600}}}, begin.Add(800*time.Millisecond))
+	b.ApplyPeerUpdate(UsageUpdate{Sender: "old", Uptime: time.Hour, Reports: []UsageReport{{Customer: b.names["c"], Total: 5000, Level: 600}}}, begin.Add(800*time.Millisecond))
 	if got := left(t, b, begin.Add(800*time.Millisecond)); got != 600 {
 		t.Errorf("%v are left, want the 600 that a process knows that was there before", got)
 	}
@@ -103,21 +103,21 @@
 	l := Limit{Rate: 100, Burst: 1000, Unit: Tokens}
 	a.SetLimits(limits(l), begin)
 	b.SetLimits(limits(l), begin)
-	tell := func(from, to *Book, name string, now time.Time) {
-		n := from.Words(now)
+	tell := func(from, to *Limiter, name string, now time.Time) {
+		n := from.PeerUpdate(now)
 		n.Sender = name
-		to.Heard(n, now)
+		to.ApplyPeerUpdate(n, now)
 	}
 	tell(a, b, "a", begin)
 	tell(b, a, "b", begin)
-	a.Begin("c", tokens(900), begin)
+	a.Admit("c", tokens(900), begin)
 	tell(a, b, "a", begin)
 	if got := left(t, b, begin); got != 100 {
 		t.Errorf("the other knows of %v left, want 100", got)
 	}
-	b.Begin("c", tokens(400), begin)
+	b.Admit("c", tokens(400), begin)
 	tell(b, a, "b", begin)
-	if _, _, ok := a.Begin("c", tokens(1), begin); ok {
+	if _, _, ok := a.Admit("c", tokens(1), begin); ok {
 		t.Error("let in though the other has spent the rest")
 	}
 }
@@ -125,21 +125,21 @@
 // Guards against use that is never counted because the datagram that told of it was lost.
 func TestLostWordsAreMadeGood(t *testing.T) {
 	a, b := book(2), book(2)
-	for _, book := range []*Book{a, b} {
+	for _, book := range []*Limiter{a, b} {
 		book.SetLimits(limits(Limit{Rate: 100, Burst: 1000, Unit: Tokens}), begin)
 	}
-	heard := func(at time.Duration) News {
-		n := a.Words(begin.Add(at))
+	heard := func(at time.Duration) UsageUpdate {
+		n := a.PeerUpdate(begin.Add(at))
 		n.Sender = "a"
 		return n
 	}
-	b.Heard(heard(0), begin)
-	a.Begin("c", tokens(300), begin)
-	b.Heard(heard(100*time.Millisecond), begin.Add(100*time.Millisecond))
-	a.Begin("c", tokens(200), begin.Add(200*time.Millisecond))
+	b.ApplyPeerUpdate(heard(0), begin)
+	a.Admit("c", tokens(300), begin)
+	b.ApplyPeerUpdate(heard(100*time.Millisecond), begin.Add(100*time.Millisecond))
+	a.Admit("c", tokens(200), begin.Add(200*time.Millisecond))
 	heard(200 * time.Millisecond) // lost
-	a.Begin("c", tokens(200), begin.Add(300*time.Millisecond))
-	b.Heard(heard(300*time.Millisecond), begin.Add(300*time.Millisecond))
+	a.Admit("c", tokens(200), begin.Add(300*time.Millisecond))
+	b.ApplyPeerUpdate(heard(300*time.Millisecond), begin.Add(300*time.Millisecond))
 	if got := left(t, b, begin.Add(300*time.Millisecond)); got != 320 {
 		t.Errorf("%v left, want 1000 less 700, and 20 that came since the first was heard", got)
 	}
@@ -150,13 +150,13 @@
 func TestChangedLimits(t *testing.T) {
 	b := book(1)
 	b.SetLimits(limits(Limit{Rate: 1000, Burst: 1000, Unit: Tokens}), begin)
-	b.Begin("c", tokens(1200), begin)
+	b.Admit("c", tokens(1200), begin)
 	b.SetLimits(limits(Limit{Rate: 100, Burst: 100, Unit: Tokens}), begin)
 	if got := left(t, b, begin); got != -20 {
 		t.Errorf("%v left under a tenth of the limit, want a tenth of -200", got)
 	}
 	b.SetLimits(nil, begin)
-	if _, _, ok := b.Begin("c", tokens(1e6), begin); !ok {
+	if _, _, ok := b.Admit("c", tokens(1e6), begin); !ok {
 		t.Error("refused without a limit")
 	}
 }
@@ -164,10 +164,10 @@
 // Guards against a part of the processes that lets in what is the others' part.
 func TestPartOfTheLimitOfThoseUnheard(t *testing.T) {
 	leased := true
-	b := NewBook(Bounds{}, nil, func() bool { return leased }, begin.Add(-time.Minute))
+	b := NewLimiter(Tolerance{}, nil, func() bool { return leased }, begin.Add(-time.Minute))
 	b.SetMembers(4)
 	b.SetLimits(limits(Limit{Rate: 100, Burst: 1000, Unit: Tokens}), begin)
-	part := func() float64 { return b.State(begin.Add(time.Second)).Part }
+	part := func() float64 { return b.State(begin.Add(time.Second)).LimitFraction }
 	if got := part(); got != 0.25 {
 		t.Errorf("alone of four it has %v of the limit", got)
 	}
@@ -175,7 +175,7 @@
 	if got := part(); got != 0 {
 		t.Errorf("alone and counted out it has %v of the limit", got)
 	}
-	b.Heard(News{Sender: "x"}, begin.Add(time.Second))
+	b.ApplyPeerUpdate(UsageUpdate{Sender: "x"}, begin.Add(time.Second))
 	if got := part(); got != 0.5 {
 		t.Errorf("half of them have %v of the limit without the store", got)
 	}
@@ -186,7 +186,7 @@
 	b := book(1)
 	b.SetLimits(limits(Limit{Rate: 10, Burst: 10, Unit: Requests}), begin)
 	for range 12 {
-		b.Begin("c", Size{}, begin)
+		b.Admit("c", Size{}, begin)
 	}
 	got := b.Changes(begin)
 	if len(got) != 1 || !got[0].Over || got[0].Customer != "c" {
@@ -202,11 +202,11 @@
 func TestOddChangesKeepNobodyOut(t *testing.T) {
 	b := book(1)
 	b.SetLimits(limits(Limit{Rate: 10, Unit: Requests}), begin)
-	if _, _, ok := b.Begin("c", Size{}, begin.Add(time.Second)); !ok {
+	if _, _, ok := b.Admit("c", Size{}, begin.Add(time.Second)); !ok {
 		t.Error("a limit of ten a second without a burst lets nothing in")
 	}
-	b.Heard(News{Sender: "x", Words: []Word{{Customer: b.names["c"], Total: 90_000, Added: 90_000}}}, begin.Add(time.Second))
-	if _, _, ok := b.Begin("c", Size{}, begin.Add(3*time.Second)); !ok {
+	b.ApplyPeerUpdate(UsageUpdate{Sender: "x", Reports: []UsageReport{{Customer: b.names["c"], Total: 90_000, Increase: 90_000}}}, begin.Add(time.Second))
+	if _, _, ok := b.Admit("c", Size{}, begin.Add(3*time.Second)); !ok {
 		t.Error("tokens of the unit before keep a customer out for hours")
 	}
 }
@@ -217,23 +217,23 @@
 	b := book(2)
 	b.Stagger(1000, rand.New(rand.NewPCG(1, 1)))
 	b.SetLimits(limits(Limit{Rate: 1000, Burst: 1000, Unit: Tokens}), begin)
-	other := News{Sender: "other", Up: time.Minute, Heard: 1, Words: []Word{{Customer: prefix.NameHash("c"), Demand: 50_000}}}
+	other := UsageUpdate{Sender: "other", Uptime: time.Minute, Processes: 1, Reports: []UsageReport{{Customer: prefix.NameHash("c"), Demand: 50_000}}}
 	one, now := tokens(1000), begin
 	for range 20 {
 		now = now.Add(50 * time.Millisecond)
-		b.Heard(other, now)
-		if b.Open("c", one, now) {
-			b.Take("c", one, now)
+		b.ApplyPeerUpdate(other, now)
+		if b.CanAdmit("c", one, now) {
+			b.Consume("c", one, now)
 		}
 	}
-	wait := b.Wait("c", one, now)
+	wait := b.RetryAfter("c", one, now)
 	if wait <= 0 || wait >= mostWait {
 		t.Fatalf("come back after %v", wait)
 	}
 	opened, at := false, now
 	for end := now.Add(wait + time.Second); !opened && at.Before(end); at = at.Add(50 * time.Millisecond) {
-		b.Heard(other, at)
-		opened = b.Open("c", one, at)
+		b.ApplyPeerUpdate(other, at)
+		opened = b.CanAdmit("c", one, at)
 	}
 	if took := at.Sub(now); !opened || took < wait/2 {
 		t.Errorf("%v were told, and there was room after %v (%v)", wait, took, opened)
--- a/quota/groups.go
+++ b/quota/groups.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// GroupWords returns what this process's group has to tell another one.
-func (b *Book) GroupWords(to int, now time.Time) News {
+// GroupUpdate returns what this process's group has to tell another one.
+func (b *Limiter) GroupUpdate(to int, now time.Time) UsageUpdate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.meetGroup(to, now)
-	out := News{Up: now.Sub(b.start), Heard: 1}
+	out := UsageUpdate{Uptime: now.Sub(b.start), Processes: 1}
 	for _, s := range b.peers {
 		if s.fresh(now) {
-			out.Heard++
+			out.Processes++
 		}
 	}
 	for id, a := range b.accounts {
 		t := a.toldTo(to)
 		before := t.total
-		if len(out.Words) < wordsMost && b.due(a, t, a.group, now) {
+		if len(out.Reports) < wordsMost && b.due(a, t, a.group, now) {
 			b.refresh(a, now)
-			out.Words = append(out.Words, Word{Customer: id, Total: a.group, Added: a.group - before, Demand: a.groupDemand(now), Level: a.level})
+			out.Reports = append(out.Reports, UsageReport{Customer: id, Total: a.group, Increase: a.group - before, Demand: a.groupDemand(now), Level: a.level})
 		}
 	}
 	return out
@@ -27,7 +27,7 @@
 // meetGroup notes that another group is told. One that is told anew gets what is let in
 // from now on: what was before, its members know from others, or when they were in a group
 // with this one.
-func (b *Book) meetGroup(to int, now time.Time) {
+func (b *Limiter) meetGroup(to int, now time.Time) {
 	if now.Sub(b.toldFar[to]) > groupPatience {
 		for _, a := range b.accounts {
 			a.toldTo(to).total = a.group
@@ -36,9 +36,9 @@
 	b.toldFar[to] = now
 }
 
-// HeardGroup takes what a member of another group tells of it. Another member has
+// ApplyGroupUpdate takes what a member of another group tells of it. Another member has
 // counted from another moment on: what it tells first only sets where it begins.
-func (b *Book) HeardGroup(group int, n News, now time.Time) {
+func (b *Limiter) ApplyGroupUpdate(group int, n UsageUpdate, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.far[group]
@@ -48,7 +48,7 @@
 		b.far[group] = s
 		b.senders = append(b.senders, s)
 	}
-	s.count = n.Heard
+	s.count = n.Processes
 	b.hear(s, n, now)
 }
 
--- a/quota/limit.go
+++ b/quota/limit.go
@@ -30,8 +30,8 @@
 	// Burst is how much may be saved up.
 	Burst float64
 	Unit  Unit
-	// Uncounted is the tokens of a request that does not say how many it has.
-	Uncounted float64
+	// DefaultTokens is the tokens of a request that does not say how many it has.
+	DefaultTokens float64
 }
 
 // limits reports whether there is a limit.
@@ -53,7 +53,7 @@
 
 // Check returns what is wrong with a limit.
 func (l Limit) Check() error {
-	for name, figure := range map[string]float64{"rate": l.Rate, "burst": l.Burst, "uncounted": l.Uncounted} {
+	for name, figure := range map[string]float64{"rate": l.Rate, "burst": l.Burst, "uncounted": l.DefaultTokens} {
 		if math.IsNaN(figure) || figure < 0 || figure > mostFigure {
 			return fmt.Errorf("the limit's %s is %v; give a number from 0 to %v", name, figure, mostFigure)
 		}
@@ -79,13 +79,13 @@
 	case l.Unit == Requests:
 		return 1
 	case !s.Known:
-		return l.Uncounted
+		return l.DefaultTokens
 	}
 	return float64(min(max(0, s.Tokens), mostTokens))
 }
 
-// Bounds are what the deployment allows over a limit.
-type Bounds struct {
+// Tolerance are what the deployment allows over a limit.
+type Tolerance struct {
 	// Window is the span over which a limit is judged.
 	Window time.Duration
 	// Overrun is the share of a limit, Slack the amount beside it, by which a window
@@ -95,6 +95,6 @@
 }
 
 // margin returns how far over a limit a window may be.
-func (b Bounds) margin(l Limit) float64 {
+func (b Tolerance) margin(l Limit) float64 {
 	return b.Overrun*(l.Rate*b.Window.Seconds()+l.Burst) + b.Slack
 }
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -17,7 +17,7 @@
 // deployment plays one customer's requests at many processes in virtual time. They tell
 // each other by datagrams that are late or lost, and learn by a store who is there.
 type deployment struct {
-	bounds Bounds
+	bounds Tolerance
 	off    policy.Disabled
 	limit  Limit
 	rand   *rand.Rand
@@ -40,7 +40,7 @@
 }
 
 type host struct {
-	book    *Book
+	book    *Limiter
 	name    string
 	group   int
 	weight  float64
@@ -56,7 +56,7 @@
 
 type letter struct {
 	to      *host
-	news    News
+	news    UsageUpdate
 	group   int
 	relayed bool
 }
@@ -77,7 +77,7 @@
 
 func newDeployment(n int, l Limit, off policy.Disabled, seed uint64) *deployment {
 	d := &deployment{
-		bounds: Bounds{Window: 8 * time.Second, Overrun: 0.1, Slack: 72_000}, off: off, limit: l,
+		bounds: Tolerance{Window: 8 * time.Second, Overrun: 0.1, Slack: 72_000}, off: off, limit: l,
 		mail: map[time.Duration][]letter{}, rand: rand.New(rand.NewPCG(seed, 7)), pulse: max(50, time.Duration(5*min(n, 25))) * time.Millisecond, late: 15 * time.Millisecond, exact: l.Burst,
 	}
 	for range n {
@@ -92,7 +92,7 @@
 	h.former = h.lease
 	h.name = string(rune(d.rand.Uint32()%100_000)) + d.now.String()
 	h.lease = d.now + modelLease
-	h.book = NewBook(d.bounds, d.off, func() bool { return d.now < h.lease }, d.clock())
+	h.book = NewLimiter(d.bounds, d.off, func() bool { return d.now < h.lease }, d.clock())
 	h.book.SetMembers(hint)
 	h.book.SetLimits(map[string]Limit{"c": d.limit}, d.clock())
 	h.next = d.now + time.Duration(d.rand.Int64N(int64(d.pulse)))
@@ -153,7 +153,7 @@
 }
 
 func (d *deployment) tell(h *host) {
-	news := h.book.Words(d.clock())
+	news := h.book.PeerUpdate(d.clock())
 	news.Sender = h.name
 	for _, to := range d.hosts {
 		if to != h && to.group == h.group && d.reaches(h, to) {
@@ -162,7 +162,7 @@
 	}
 	for group := range d.hosts[len(d.hosts)-1].group + 1 {
 		if group != h.group && d.first(h.group, h) {
-			news := h.book.GroupWords(group, d.clock())
+			news := h.book.GroupUpdate(group, d.clock())
 			news.Sender = h.name
 			if to := d.firstOf(group); to != nil && d.reaches(h, to) {
 				d.post(letter{to: to, news: news, group: h.group})
@@ -197,9 +197,9 @@
 		switch {
 		case !d.up(l.to):
 		case l.group < 0:
-			l.to.book.Heard(l.news, d.clock())
+			l.to.book.ApplyPeerUpdate(l.news, d.clock())
 		default:
-			l.to.book.HeardGroup(l.group, l.news, d.clock())
+			l.to.book.ApplyGroupUpdate(l.group, l.news, d.clock())
 			d.passOn(l)
 		}
 	}
@@ -232,7 +232,7 @@
 		d.exact -= cost
 		d.within.asked += cost
 	}
-	_, _, ok := h.book.Begin("c", Size{Tokens: int(cost), Known: true}, d.clock())
+	_, _, ok := h.book.Admit("c", Size{Tokens: int(cost), Known: true}, d.clock())
 	if ok {
 		d.ledger = append(d.ledger, entry{d.now, cost})
 	} else if fits {
--- a/quota/senders.go
+++ b/quota/senders.go
@@ -58,7 +58,7 @@
 
 // heardCount returns how many processes share what this one knows, itself included;
 // the caller holds mu.
-func (b *Book) heardCount(now time.Time) int {
+func (b *Limiter) heardCount(now time.Time) int {
 	n := 1
 	for _, s := range b.senders {
 		if s.fresh(now) {
@@ -71,7 +71,7 @@
 // part returns which part of all limits is left to the processes that hear each other.
 // Those that are not heard, but may be there, keep theirs. One whom the others do not
 // count in any more has none by itself.
-func (b *Book) part(now time.Time) float64 {
+func (b *Limiter) part(now time.Time) float64 {
 	heard := b.heardCount(now)
 	expected := b.expected(now)
 	if heard >= expected {
@@ -84,27 +84,27 @@
 	return part
 }
 
-// Word is what a process, or a group of them, tells of one customer.
-type Word struct {
+// UsageReport is what a process, or a group of them, tells of one customer.
+type UsageReport struct {
 	// Customer is the hash of its name.
 	Customer uint64
 	// Total was let in since the sender's start, Demand asked lately.
 	Total  float64
 	Demand float64
-	// Added is the part of Total that was not told before.
-	Added float64
+	// Increase is the part of Total that was not told before.
+	Increase float64
 	// Level is what the sender knows to be left.
 	Level float64
 }
 
-// News is what a process, or a group of them, tells of all customers.
-type News struct {
+// UsageUpdate is what a process, or a group of them, tells of all customers.
+type UsageUpdate struct {
 	Sender string
-	// Up is for how long the sender has been running.
-	Up    time.Duration
-	Words []Word
-	// Heard is how many processes the sender speaks for.
-	Heard int
+	// Uptime is for how long the sender has been running.
+	Uptime  time.Duration
+	Reports []UsageReport
+	// Processes is how many processes the sender speaks for.
+	Processes int
 }
 
 // toldUse is what was told of an account.
@@ -128,34 +128,34 @@
 	wordsMost = 256
 )
 
-// Words returns what this process has to tell its peers now.
-func (b *Book) Words(now time.Time) News {
+// PeerUpdate returns what this process has to tell its peers now.
+func (b *Limiter) PeerUpdate(now time.Time) UsageUpdate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.forget(now)
-	out := News{Up: now.Sub(b.start), Heard: b.heardCount(now)}
+	out := UsageUpdate{Uptime: now.Sub(b.start), Processes: b.heardCount(now)}
 	for id, a := range b.accounts {
 		before := a.told.total
-		if len(out.Words) < wordsMost && b.due(a, &a.told, a.own, now) {
+		if len(out.Reports) < wordsMost && b.due(a, &a.told, a.own, now) {
 			b.refresh(a, now)
-			out.Words = append(out.Words, Word{Customer: id, Total: a.own, Added: a.own - before, Demand: a.demand, Level: a.level})
+			out.Reports = append(out.Reports, UsageReport{Customer: id, Total: a.own, Increase: a.own - before, Demand: a.demand, Level: a.level})
 		}
 	}
 	return out
 }
 
-// All returns the same of all customers that were active lately, for a process that is
+// FullUpdate returns the same of all customers that were active lately, for a process that is
 // new.
-func (b *Book) All(now time.Time) News {
+func (b *Limiter) FullUpdate(now time.Time) UsageUpdate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := News{Up: now.Sub(b.start), Heard: b.heardCount(now)}
+	out := UsageUpdate{Uptime: now.Sub(b.start), Processes: b.heardCount(now)}
 	for id, a := range b.accounts {
-		if len(out.Words) == wordsMost {
+		if len(out.Reports) == wordsMost {
 			break
 		}
 		b.refresh(a, now)
-		out.Words = append(out.Words, Word{Customer: id, Total: a.own, Demand: a.demand, Level: a.level})
+		out.Reports = append(out.Reports, UsageReport{Customer: id, Total: a.own, Demand: a.demand, Level: a.level})
 	}
 	return out
 }
@@ -163,7 +163,7 @@
 // due reports whether an account's total is to be told now, and notes it as told. What
 // all processes together leave untold stays within half of the margin that covers what
 // is not heard.
-func (b *Book) due(a *account, t *toldUse, total float64, now time.Time) bool {
+func (b *Limiter) due(a *account, t *toldUse, total float64, now time.Time) bool {
 	since := now.Sub(t.at)
 	unsaid := math.Abs(total - t.total)
 	most := b.held(a) / 2 / float64(max(1, b.members))
@@ -178,13 +178,13 @@
 	return false
 }
 
-// Heard takes what a peer tells.
-func (b *Book) Heard(n News, now time.Time) {
+// ApplyPeerUpdate takes what a peer tells.
+func (b *Limiter) ApplyPeerUpdate(n UsageUpdate, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.peers[n.Sender]
 	if s == nil {
-		s = &sender{name: n.Sender, patience: peerPatience, whole: n.Up < now.Sub(b.start)}
+		s = &sender{name: n.Sender, patience: peerPatience, whole: n.Uptime < now.Sub(b.start)}
 		b.peers[n.Sender] = s
 		b.senders = append(b.senders, s)
 	}
@@ -194,13 +194,13 @@
 
 // hear takes what a sender tells of customers. What one tells that was not heard for a
 // while was let in by its own part of the limit, which was left to it.
-func (b *Book) hear(s *sender, n News, now time.Time) {
+func (b *Limiter) hear(s *sender, n UsageUpdate, now time.Time) {
 	if !s.heard.IsZero() && !s.fresh(now) {
 		b.apart(s)
 	}
-	s.arrived(n.Up, b.start, now)
+	s.arrived(n.Uptime, b.start, now)
 	part := b.part(now)
-	for _, w := range n.Words {
+	for _, w := range n.Reports {
 		a := b.accounts[w.Customer]
 		if a == nil {
 			continue
@@ -212,7 +212,7 @@
 }
 
 // apart notes that a sender was silent.
-func (b *Book) apart(s *sender) {
+func (b *Limiter) apart(s *sender) {
 	s.whole = false
 	for _, a := range b.accounts {
 		if u := a.others[s]; u != nil {
@@ -222,13 +222,13 @@
 }
 
 // hear takes what a sender tells of one customer.
-func (a *account) hear(s *sender, w Word, now time.Time) {
+func (a *account) hear(s *sender, w UsageReport, now time.Time) {
 	u := a.others[s]
 	if u == nil {
 		// Of one that was there before, what it told earlier was heard by others.
 		u = &use{}
 		if !s.whole {
-			u.total = w.Total - w.Added
+			u.total = w.Total - w.Increase
 		}
 		a.others[s] = u
 	}
@@ -244,8 +244,8 @@
 
 // adopt takes the level of a process that has been there for long where this one has
 // just started.
-func (b *Book) adopt(a *account, n News, w Word, now time.Time) {
-	if a.adopted || n.Up < settled {
+func (b *Limiter) adopt(a *account, n UsageUpdate, w UsageReport, now time.Time) {
+	if a.adopted || n.Uptime < settled {
 		return
 	}
 	a.adopted = true
@@ -255,7 +255,7 @@
 }
 
 // forget forgets those that fell silent long ago.
-func (b *Book) forget(now time.Time) {
+func (b *Limiter) forget(now time.Time) {
 	for name, s := range b.peers {
 		if now.Sub(s.heard) > senderKept {
 			delete(b.peers, name)
@@ -265,7 +265,7 @@
 }
 
 // drop forgets what a sender told.
-func (b *Book) drop(s *sender) {
+func (b *Limiter) drop(s *sender) {
 	b.senders = slices.DeleteFunc(b.senders, func(other *sender) bool { return other == s })
 	for _, a := range b.accounts {
 		delete(a.others, s)
--- a/quota/take.go
+++ b/quota/take.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Open reports whether one more request of an account may be let in. It counts as asked
+// CanAdmit reports whether one more request of an account may be let in. It counts as asked
 // for: were the account the only open one, it would get them all. An account without a
 // limit is open.
-func (b *Book) Open(name string, size Size, now time.Time) bool {
+func (b *Limiter) CanAdmit(name string, size Size, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.accounts[b.names[name]]
@@ -23,8 +23,8 @@
 	return open
 }
 
-// Take counts a request that is let in whether or not there is room for it.
-func (b *Book) Take(name string, size Size, now time.Time) *Charge {
+// Consume counts a request that is let in whether or not there is room for it.
+func (b *Limiter) Consume(name string, size Size, now time.Time) *Charge {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	id := b.names[name]
@@ -38,9 +38,9 @@
 	return &Charge{book: b, id: id, cost: cost, times: 1}
 }
 
-// Wait returns after how long an account is expected to have room for a request, behind
+// RetryAfter returns after how long an account is expected to have room for a request, behind
 // those who were promised it before; 0 where it has no limit.
-func (b *Book) Wait(name string, size Size, now time.Time) time.Duration {
+func (b *Limiter) RetryAfter(name string, size Size, now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.accounts[b.names[name]]
@@ -52,8 +52,8 @@
 	return a.wait(b.room(a, cost, now))
 }
 
-// Promise counts a request that was told to come back.
-func (b *Book) Promise(name string, size Size, now time.Time) {
+// ReserveRetry counts a request that was told to come back.
+func (b *Limiter) ReserveRetry(name string, size Size, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if a := b.accounts[b.names[name]]; a != nil {
--- a/quota/targets_test.go
+++ b/quota/targets_test.go
@@ -17,7 +17,7 @@
 // all processes together.
 func newTargetDeployment(n int, rate float64, off policy.Disabled, seed uint64) *deployment {
 	d := newDeployment(0, Limit{Rate: rate * targetUnits, Burst: max(rate/4, 1) * targetUnits, Unit: Tokens}, off, seed)
-	d.bounds = Bounds{Window: 4 * time.Second, Overrun: 0.5, Slack: 5 * targetUnits}
+	d.bounds = Tolerance{Window: 4 * time.Second, Overrun: 0.5, Slack: 5 * targetUnits}
 	d.pulse = max(50, time.Duration(5*min(n, 25))) * time.Millisecond
 	d.fixed = true
 	for range n {
--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -164,8 +164,8 @@
 	}
 	if len(runners) > 0 {
 		known := h.fleet.Loads(runners[0].Service)
-		in.AtOnce = known.AtOnce(len(runners))
-		in.Bound, in.Each = h.bound, cmp.Or(h.took, known.Order())
+		in.AtOnce = known.MaxConcurrent(len(runners))
+		in.Bound, in.Each = h.bound, cmp.Or(h.took, known.OrderDuration())
 	}
 	for _, r := range runners {
 		load := h.fleet.Inflight(r.Life())
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -78,7 +78,7 @@
 func TestRolloutEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runners := runnersAt(rapid.SliceOfN(rapid.Int64Range(1, 3), 1, 30).Draw(t, "versions")...)
-		in := Input{Model: "m", Desired: 3, Runners: runners, AtOnce: new(forecast.Loads).AtOnce(len(runners)), Underway: map[string]time.Duration{}}
+		in := Input{Model: "m", Desired: 3, Runners: runners, AtOnce: new(forecast.WeightLoads).MaxConcurrent(len(runners)), Underway: map[string]time.Duration{}}
 		given := map[string]bool{}
 		for step := 0; step < 200; step++ {
 			if step == 5 {
@@ -135,7 +135,7 @@
 	runners := runnersAt(make([]int64, n)...)
 	named := []time.Duration{0}
 	ends := map[string]time.Duration{}
-	in := Input{Model: "m", Runners: runners, Long: map[string]int{}, AtOnce: new(forecast.Loads).AtOnce(n), Bound: bound, Each: each}
+	in := Input{Model: "m", Runners: runners, Long: map[string]int{}, AtOnce: new(forecast.WeightLoads).MaxConcurrent(n), Bound: bound, Each: each}
 	for i, l := range long {
 		in.Long[runners[i].ID] = l
 	}
--- a/router/endings.go
+++ b/router/endings.go
@@ -80,7 +80,7 @@
 	}
 	now := time.Now()
 	e.fleet.Unreachable(target.Life(), now)
-	e.table.Ended(target.Life(), now)
+	e.table.RecordCrash(target.Life(), now)
 }
 
 func (e *endings) listens(target fleet.Runner) Presence {
@@ -105,7 +105,7 @@
 func (s *session) brokeOff(choice fleet.Choice, err error) {
 	leaving := !s.router.fleet.Live(choice.Runner.Life())
 	if !leaving {
-		s.router.poison.Broke(s.in.suspicion(), choice.Runner.Life(), s.sentAt, time.Now())
+		s.router.poison.RecordBrokenResponse(s.in.suspicion(), choice.Runner.Life(), s.sentAt, time.Now())
 	}
 	if !byPeer(err) {
 		return
--- a/router/outcome.go
+++ b/router/outcome.go
@@ -94,7 +94,7 @@
 	default:
 		s.router.fleet.Unreachable(choice.Runner.Life(), time.Now())
 	}
-	if !sent && s.router.poison.Waits(choice.Runner.Life()) {
+	if !sent && s.router.poison.AwaitsEvidence(choice.Runner.Life()) {
 		s.router.endings.ask(choice.Runner)
 	}
 	if !sent {
@@ -136,7 +136,7 @@
 	}
 	s.router.fleet.Succeeded(choice.Runner.Life())
 	if a.Status < 300 {
-		s.router.poison.Served(s.in.content, time.Now())
+		s.router.poison.RecordSuccess(s.in.content, time.Now())
 	}
 	if refused := s.pass(&held{a, body}); refused != nil {
 		return result{refused: refused}
--- a/router/router.go
+++ b/router/router.go
@@ -47,7 +47,7 @@
 	fleet   *fleet.Fleet
 	sender  Sender
 	budgets *budgets
-	limits  *quota.Book
+	limits  *quota.Limiter
 	poison  *poison.Table
 	endings *endings
 	metrics *Metrics
@@ -59,7 +59,7 @@
 
 // New returns a router, which keeps in t the contents under which targets end, and
 // customers within their limits by q.
-func New(c Configuration, f *fleet.Fleet, s Sender, t *poison.Table, q *quota.Book, m *Metrics, log logrus.FieldLogger, b Bounds, r RetryBounds) *Router {
+func New(c Configuration, f *fleet.Fleet, s Sender, t *poison.Table, q *quota.Limiter, m *Metrics, log logrus.FieldLogger, b Bounds, r RetryBounds) *Router {
 	return &Router{config: c, fleet: f, sender: s, budgets: newBudgets(r), limits: q, poison: t, endings: newEndings(s, f, t, log), metrics: m, log: log, bounds: b}
 }
 
@@ -147,7 +147,7 @@
 	if in.customer == nil {
 		return nil, nil
 	}
-	charge, wait, ok := r.limits.Begin(in.customer.Name, in.Size, time.Now())
+	charge, wait, ok := r.limits.Admit(in.customer.Name, in.Size, time.Now())
 	if ok {
 		return charge, nil
 	}
--- a/router/session.go
+++ b/router/session.go
@@ -50,15 +50,15 @@
 	// here counts the request among those of its content, judged is how that stood before
 	// the last send, and asked is closed once it is known whether the target that broke
 	// the last answer off has ended; nil where none did.
-	here   *poison.Stay
-	judged poison.Judgement
+	here   *poison.ActiveRequest
+	judged poison.Decision
 	asked  <-chan struct{}
 }
 
 func (s *session) run(ctx context.Context) *refusal.Error {
 	s.router.budgets.request(s.in.service.Name, time.Now())
-	s.here = s.router.poison.Begin(s.in.content)
-	defer s.here.End()
+	s.here = s.router.poison.Track(s.in.content)
+	defer s.here.Finish()
 	for {
 		if refused := s.judge(time.Now()); refused != nil {
 			return s.giveUp(result{refused: refused})
@@ -85,7 +85,7 @@
 
 // settleCharge gives the customer back what it was charged for sends that did not run.
 func (s *session) settleCharge() {
-	s.charge.Ran(s.ran)
+	s.charge.SetExecutions(s.ran)
 }
 
 // giveUp passes on the target's own failure, or returns the refusal.
@@ -120,9 +120,9 @@
 		Tried:         s.tried,
 		OldWeightsFor: s.router.bounds.OldWeights,
 		Weights:       cacheWeights,
-		Alone:         s.judged.Standing == poison.Suspect,
-		AtAnyRate:     s.judged.Ends > 1,
-		Apart:         s.judged.Apart,
+		Alone:         s.judged.Status == poison.Suspect,
+		AtAnyRate:     s.judged.Crashes > 1,
+		Apart:         s.judged.Avoid,
 	}
 	if in.service.Engine != nil && in.Model != "" {
 		q.Model = in.Model
@@ -139,7 +139,7 @@
 	attempt, cancel := s.attemptContext(ctx)
 	defer cancel()
 	s.sends++
-	s.charge.Ran(s.ran + 1)
+	s.charge.SetExecutions(s.ran + 1)
 	s.last = choice
 	s.tried = append(s.tried, choice.Runner.Life())
 	f := s.router.fleet
@@ -149,8 +149,8 @@
 	s.replaced.sent, s.replaced.first = f.BehindFor(s.in.Model, choice.Weights, s.sentAt), 0
 	s.ticket = f.Begin(choice.Runner.Life(), s.stay(choice), s.sentAt)
 	defer s.ticket.End()
-	s.here.At(choice.Runner.Life())
-	defer s.here.Left()
+	s.here.SentTo(choice.Runner.Life())
+	defer s.here.LeftTarget()
 	s.waits = s.recall(choice, cancel)
 	defer s.waits.end()
 	answer, err := s.router.sender.Send(attempt, s.newSend(choice))
--- a/router/stream.go
+++ b/router/stream.go
@@ -80,7 +80,7 @@
 func (s *session) ended(choice fleet.Choice, a *Answer, rest []byte) result {
 	s.router.fleet.Succeeded(choice.Runner.Life())
 	s.ticket.Complete(time.Now())
-	s.router.poison.Served(s.in.content, time.Now())
+	s.router.poison.RecordSuccess(s.in.content, time.Now())
 	if !s.begun || len(rest) > 0 {
 		if err := s.write(a, rest); err != nil {
 			return result{refused: clientLeft(err)}
--- a/router/suspects.go
+++ b/router/suspects.go
@@ -22,17 +22,17 @@
 	if s.router.fleet.Off(policy.PoisonDetection) {
 		return nil
 	}
-	j := s.router.poison.Judge(s.in.content, now)
+	j := s.router.poison.Evaluate(s.in.content, now)
 	s.judged = j
 	became := "this one was not run"
 	if s.ran > 0 {
 		// An earlier send of this very request may have ended one of them.
 		became = "this one is not sent on"
 	}
-	switch j.Standing {
+	switch j.Status {
 	case poison.Refused:
 		return refusal.New(refusal.CrashesTargets, "change the request, or come back after the time in Retry-After; operators can lift the verdict",
-			"%d targets ended while they ran requests with the same content (%s); %s", j.Ends, s.in.content, became).WithRetryAfter(j.For)
+			"%d targets ended while they ran requests with the same content (%s); %s", j.Crashes, s.in.content, became).WithRetryAfter(j.Remaining)
 	case poison.Waiting:
 		return refusal.New(refusal.SuspectInProgress, "come back after the time in Retry-After",
 			"a target ended while it ran a request with the same content (%s), and another is being tried; %s", s.in.content, became).WithRetryAfter(retryAfter)
--- a/verdicts/entry.go
+++ b/verdicts/entry.go
@@ -20,7 +20,7 @@
 	if !ok {
 		return content, false, nil
 	}
-	content, err = poison.Parse(text)
+	content, err = poison.ParseFingerprint(text)
 	return content, true, err
 }
 
@@ -33,5 +33,5 @@
 	if e.Unread != nil {
 		return poison.Verdict{}, e.Unread
 	}
-	return poison.Decode(content, e.Value, e.Revision, now)
+	return poison.DecodeVerdict(content, e.Value, e.Revision, now)
 }
--- a/verdicts/keeper.go
+++ b/verdicts/keeper.go
@@ -74,13 +74,13 @@
 // changed logs and counts a change. A suspicion that others told is not logged: whoever
 // saw the end does.
 func (k *Keeper) changed(c poison.Change) {
-	k.counted.WithLabelValues(string(c.What)).Inc()
-	if c.Origin == poison.Seen && c.Ends > 1 {
+	k.counted.WithLabelValues(string(c.Kind)).Inc()
+	if c.Origin == poison.OriginLocal && c.Crashes > 1 {
 		k.Soon()
 	}
 	fields := logrus.Fields{
-		"event": "content_" + string(c.What), "content": c.Content.String(), "service": c.Service, "customer": c.Customer,
-		"request": c.Request, "origin": c.Origin, "ends": c.Ends,
+		"event": "content_" + string(c.Kind), "content": c.Content.String(), "service": c.Service, "customer": c.Customer,
+		"request": c.Request, "origin": c.Origin, "ends": c.Crashes,
 	}
 	if c.Target != (fleet.Life{}) {
 		fields["target"], fields["born"] = c.Target.ID, c.Target.Born
@@ -88,10 +88,10 @@
 	if !c.Until.IsZero() {
 		fields["until"] = c.Until.UTC().Format(time.RFC3339)
 	}
-	k.log.WithFields(fields).Info(meanings[c.What])
+	k.log.WithFields(fields).Info(meanings[c.Kind])
 }
 
-var meanings = map[poison.What]string{
+var meanings = map[poison.ChangeKind]string{
 	poison.Suspected: "a target ended while it ran this; it goes alone from now on",
 	poison.Convicted: "requests with this content are refused",
 	poison.Cleared:   "it has been served; the ends are not held against it",
@@ -110,7 +110,7 @@
 			continue
 		}
 		_, standsIn := k.Seat.Held()
-		for _, verdict := range k.Table.Unkept(standsIn, now) {
+		for _, verdict := range k.Table.PendingWrites(standsIn, now) {
 			k.write(ctx, verdict)
 		}
 		if standsIn {
@@ -136,7 +136,7 @@
 	revision, err := k.store.Put(ctx, Key(verdict.Content), value, verdict.Revision, "")
 	switch {
 	case err == nil:
-		k.Table.Written(verdict, revision)
+		k.Table.MarkWritten(verdict, revision)
 	case errors.Is(err, store.ErrConflict):
 		k.reread(ctx, verdict.Content)
 	default:
@@ -166,7 +166,7 @@
 // Read takes a verdict that the store has.
 func (k *Keeper) Read(content poison.Fingerprint, value []byte, revision int64) error {
 	now := time.Now()
-	verdict, err := poison.Decode(content, value, revision, now)
+	verdict, err := poison.DecodeVerdict(content, value, revision, now)
 	if err != nil {
 		return err
 	}
@@ -177,7 +177,7 @@
 	k.mu.Lock()
 	k.stored[content] = storedVerdict{revision: revision, until: until}
 	k.mu.Unlock()
-	k.Table.Read(verdict, now)
+	k.Table.ApplyStored(verdict, now)
 	return nil
 }
 
@@ -187,7 +187,7 @@
 	k.mu.Lock()
 	delete(k.stored, content)
 	k.mu.Unlock()
-	k.Table.Missing(content)
+	k.Table.MarkMissing(content)
 }
 
 // Relisted takes the keys of the system's own that the store has.
