--- a/cmd/acaciakeel-entry/platform.go
+++ b/cmd/acaciakeel-entry/platform.go
@@ -39,7 +39,7 @@
 			lines := telemetry.NewLines(os.Stdout)
 			log := telemetry.NewLoggerTo(lines, "info")
 			stop := stopSignal(log)
-			n := node.New(settings, node.Options{MetricsPort: c.Int("metrics-port"), Dropped: lines.Dropped, Without: without}, log)
+			n := node.New(settings, node.Options{MetricsPort: c.Int("metrics-port"), DroppedLogLines: lines.Dropped, Disabled: without}, log)
 			if err := n.Start(); err != nil {
 				return err
 			}
--- a/internal/trial/site.go
+++ b/internal/trial/site.go
@@ -94,7 +94,7 @@
 		Listen: platform.Listen{Front: "127.0.0.1:0", Ready: "127.0.0.1:0"},
 		Bounds: platform.Bounds{GraceS: 1, RevokeMS: 5000, VersionMS: 8000, LeaseMS: 3000, RetryRatio: 0.2, RetryExtra: 50, RetryWindowS: 10},
 		Store:  platform.StoreAt{Address: strings.TrimPrefix(s.server.URL, "http://"), MinLeaseMS: 1000},
-	}, node.Options{Without: without}, log)
+	}, node.Options{Disabled: without}, log)
 	if err := n.Start(); err != nil {
 		return nil, err
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -67,17 +67,17 @@
 type Options struct {
 	// MetricsPort is where metrics are served, as the deploy file says; 0 is any port.
 	MetricsPort int
-	// Dropped, where set, returns how many log lines were lost.
-	Dropped func() int64
-	// Without are the mechanisms that are switched off.
-	Without policy.Disabled
+	// DroppedLogLines, where set, returns how many log lines were lost.
+	DroppedLogLines func() int64
+	// Disabled are the mechanisms that are switched off.
+	Disabled policy.Disabled
 }
 
 func (o Options) dropped() int64 {
-	if o.Dropped == nil {
+	if o.DroppedLogLines == nil {
 		return 0
 	}
-	return o.Dropped()
+	return o.DroppedLogLines()
 }
 
 // Figures of a node's duties.
@@ -122,7 +122,7 @@
 	n.serving, n.interrupt = context.WithCancelCause(context.Background())
 	runners := platform.NewRunners()
 	targets := fleet.New(s.Zone)
-	targets.Without(o.Without)
+	targets.Without(o.Disabled)
 	n.session = lease.NewSession(n.store, max(leaseTTL, time.Duration(s.Store.MinLeaseMS)*time.Millisecond), leaseMargin)
 	n.view = &view{
 		fleet:   targets,
@@ -134,8 +134,8 @@
 		keys:    ownKeysOf(),
 	}
 	n.view.self = n.view.keys.members + n.name
-	n.view.limitBook = quota.NewLimiter(s.Bounds.Quota(), o.Without, n.session.Valid, time.Now())
-	n.view.targetBook = quota.NewLimiter(fleet.TargetBounds, o.Without, n.session.Valid, time.Now())
+	n.view.limitBook = quota.NewLimiter(s.Bounds.Quota(), o.Disabled, n.session.Valid, time.Now())
+	n.view.targetBook = quota.NewLimiter(fleet.TargetBounds, o.Disabled, n.session.Valid, time.Now())
 	targets.KeepLimits(n.view.targetBook, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	n.limits = newLimitMetrics(n.registry, n.view.limitBook)
 	n.notices = newNoticeMetrics(n.registry)
