--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -17,27 +17,27 @@
 	// Model is empty for plain requests; Chain is nil then.
 	Model string
 	Chain func(weights int64) prefix.Chain
-	// Input is the number of prompt tokens, Output the most that may be generated.
-	Input  int
-	Output int
+	// InputTokens is the number of prompt tokens, Output the most that may be generated.
+	InputTokens     int
+	MaxOutputTokens int
 	// Objective is the time to the first token that is asked for.
 	Objective time.Duration
 	// Tried are lives of targets that must not be chosen again; a later one may.
-	Tried []Life
+	Tried []Instance
 	// Capacity is a target's memory for runs and cached parts, in tokens; 0 is unknown.
 	Capacity int
 	// TokenBytes is the size of one token's KV cache.
 	TokenBytes int
-	// OldWeightsFor is for how long after newer weights were named runners
+	// MaxStaleness is for how long after newer weights were named runners
 	// with older ones may begin requests.
-	OldWeightsFor time.Duration
-	Weights       placement.CostWeights
-	// Alone asks for the target at which the fewest others run, and Apart are targets
+	MaxStaleness time.Duration
+	CostWeights  placement.CostWeights
+	// Isolate asks for the target at which the fewest others run, and Apart are targets
 	// to be left out if any other may be used. AtAnyRate asks for that also where all
 	// targets are among those.
-	Alone     bool
-	AtAnyRate bool
-	Apart     []Life
+	Isolate       bool
+	AlwaysIsolate bool
+	Avoid         []Instance
 
 	long  bool
 	light bool
@@ -45,31 +45,31 @@
 
 // Choice is a target for one request.
 type Choice struct {
-	Runner Runner
+	Target Target
 	Model  string
-	// Weights is the version that the runner is believed to have; 0 for plain requests.
-	Weights int64
-	Chain   prefix.Chain
-	// Shared is how many prompt tokens other requests have in common with it.
-	Shared int
-	// Cached is how many prompt tokens are believed to need no prefill there.
-	Cached int
+	// WeightsVersion is the version that the runner is believed to have; 0 for plain requests.
+	WeightsVersion int64
+	Chain          prefix.Chain
+	// SharedTokens is how many prompt tokens other requests have in common with it.
+	SharedTokens int
+	// CachedTokens is how many prompt tokens are believed to need no prefill there.
+	CachedTokens int
 	// Wait is the expected wait before the request begins, FirstToken that to
 	// its first token.
 	Wait       time.Duration
 	FirstToken time.Duration
-	// Reading is the time that its runner takes to read what it lacks.
-	Reading time.Duration
-	// Known is set where FirstToken rests on enough that was observed for a
+	// PrefillTime is the time that its runner takes to read what it lacks.
+	PrefillTime time.Duration
+	// Reliable is set where FirstToken rests on enough that was observed for a
 	// request to be refused by it.
-	Known bool
+	Reliable bool
 	// Source is the address of another runner or store for the chosen one to fetch
 	// parts from; empty where there is none. Fetched is how many tokens more it is
 	// believed to hold, 0 where it is asked on the chance, and Moved what that
 	// takes.
-	Source  string
-	Fetched int
-	Moved   forecast.KVTransfer
+	Source      string
+	FetchTokens int
+	Transfer    forecast.KVTransfer
 	// Long is set for requests that are expected to hold a slot for longer than a
 	// load of weights takes.
 	Long bool
@@ -116,7 +116,7 @@
 		return Choice{}, false
 	}
 	indices = answering(g, indices)
-	if q.Alone && !f.off[policy.SuspectIsolation] {
+	if q.Isolate && !f.off[policy.SuspectIsolation] {
 		if c, ok := f.chooseAlone(q, g, indices, now); ok {
 			return c, true
 		}
@@ -167,7 +167,7 @@
 	if q.Model == "" {
 		return true
 	}
-	return f.named[q.Model].behindFor(s.version(q.Model), now) <= q.OldWeightsFor && !now.Before(s.busyUntil)
+	return f.named[q.Model].behindFor(s.version(q.Model), now) <= q.MaxStaleness && !now.Before(s.busyUntil)
 }
 
 // chooseIdle picks the target with the least expected wait.
@@ -181,7 +181,7 @@
 			best, bestCost = s, cost
 		}
 	}
-	return Choice{Runner: best.runner, Wait: f.queueWait(best, now)}
+	return Choice{Target: best.runner, Wait: f.queueWait(best, now)}
 }
 
 // chooseAlone picks the target at which the fewest requests run, for a request that may
@@ -191,10 +191,10 @@
 // at any rate: when a dozen targets end together, hundreds are suspect for a moment, and
 // prompts read anew for each would cost the others more.
 func (f *Fleet) chooseAlone(q Query, g *group, indices []int32, now time.Time) (c Choice, ok bool) {
-	apart := placement.Except(f.present(q.Apart))
+	apart := placement.Except(f.present(q.Avoid))
 	rest := slices.DeleteFunc(slices.Clone(indices), func(i int32) bool { return !apart(&g.placed[i]) })
 	if len(rest) == 0 {
-		if !q.AtAnyRate {
+		if !q.AlwaysIsolate {
 			return Choice{}, false
 		}
 		rest = indices
@@ -242,7 +242,7 @@
 			first = false
 		}
 	}
-	best := placement.Pick(answers, chain.Tokens, q.Weights)
+	best := placement.Pick(answers, chain.Tokens, q.CostWeights)
 	c := f.choice(q, g.states[order[best]], chains, fetches[best], now)
 	f.expect(&c, q, answers[best], chain.Tokens, now)
 	return c
@@ -253,9 +253,9 @@
 	e := f.engine(q.Service)
 	c.Wait = time.Duration(a.WaitSeconds * float64(time.Second))
 	c.FirstToken = e.BaseLatency(now) + time.Duration(placement.TimeToFirstToken(a, tokens)*float64(time.Second))
-	c.Reading = e.PrefillTime(max(0, tokens-a.CachedTokens), tokens, now)
-	c.Known = e.HasEnoughSamples()
-	e.ObserveArrival(c.Reading, q.light, now)
+	c.PrefillTime = e.PrefillTime(max(0, tokens-a.CachedTokens), tokens, now)
+	c.Reliable = e.HasEnoughSamples()
+	e.ObserveArrival(c.PrefillTime, q.light, now)
 }
 
 // holding returns where a prompt's parts under a runner's weights are, worked out
@@ -274,11 +274,11 @@
 // worked out before, by weights.
 func (f *Fleet) choice(q Query, s *state, chains map[int64]prefix.Chain, from fetch, now time.Time) Choice {
 	weights := s.version(q.Model)
-	c := Choice{Runner: s.runner, Model: q.Model, Weights: weights, Chain: q.chainOf(chains, weights), Long: q.long}
-	c.Shared = sharedTokens(c.Chain)
-	c.Cached = s.cache.tokens(c.Chain)
-	c.Source, c.Fetched, c.Moved = from.source, from.tokens, from.moved
-	if c.Source == "" && c.Shared >= movedLeast && c.Cached < c.Shared {
+	c := Choice{Target: s.runner, Model: q.Model, WeightsVersion: weights, Chain: q.chainOf(chains, weights), Long: q.long}
+	c.SharedTokens = sharedTokens(c.Chain)
+	c.CachedTokens = s.cache.tokens(c.Chain)
+	c.Source, c.FetchTokens, c.Transfer = from.source, from.tokens, from.moved
+	if c.Source == "" && c.SharedTokens >= movedLeast && c.CachedTokens < c.SharedTokens {
 		// Nobody is known to hold more; another process may just have had the prompt
 		// read and kept. A miss costs a millisecond.
 		c.Source, _ = f.storeOf(c.Chain.Levels[len(c.Chain.Levels)-1].Hash)
@@ -321,11 +321,11 @@
 		a.PrefillRate = float64(missing) / e.PrefillTime(missing, chain.Tokens, now).Seconds()
 	}
 	total := s.sum(now)
-	a.WaitSeconds = (e.TransferTime(from.moved, now) + e.BacklogTime(total.Prefill, now) + f.queueWait(s, now)).Seconds()
+	a.WaitSeconds = (e.TransferTime(from.moved, now) + e.BacklogTime(total.PrefillTokens, now) + f.queueWait(s, now)).Seconds()
 	if f.named[q.Model].behindFor(weights, now) > oldWeightsGrace {
 		a.PenaltySeconds += oldWeightsCost.Seconds()
 	}
-	a.WaitSeconds += f.memoryWait(q, total, HeldTokens(q.Input, cached, q.Output), now).Seconds()
+	a.WaitSeconds += f.memoryWait(q, total, EstimateHeldTokens(q.InputTokens, cached, q.MaxOutputTokens), now).Seconds()
 	if !q.long {
 		beside := time.Duration(total.Long) * besideLong
 		a.PenaltySeconds += min(beside, besideMost).Seconds()
--- a/fleet/engines.go
+++ b/fleet/engines.go
@@ -21,7 +21,7 @@
 // service for more time than the load itself.
 func (f *Fleet) long(q Query) bool {
 	e := f.engine(q.Service)
-	held, seen := e.ExpectedSlotHold(q.Output)
+	held, seen := e.ExpectedSlotHold(q.MaxOutputTokens)
 	return seen && held > e.WeightLoads.LoadDuration()
 }
 
@@ -35,28 +35,28 @@
 // for answers of 30 would take a packed runner thirty times the time that it has.
 func (f *Fleet) packable(q Query, room float64, now time.Time) bool {
 	e := f.engine(q.Service)
-	held, _ := e.ExpectedSlotHold(q.Output)
-	reading := room * e.PrefillTime(q.Input, q.Input, now).Seconds()
+	held, _ := e.ExpectedSlotHold(q.MaxOutputTokens)
+	reading := room * e.PrefillTime(q.InputTokens, q.InputTokens, now).Seconds()
 	return reading < (1-decodeShare)*held.Seconds()
 }
 
-// WeightsLoaded notes how long after its order a runner of a service had loaded
+// RecordWeightLoad notes how long after its order a runner of a service had loaded
 // weights.
-func (f *Fleet) WeightsLoaded(service string, took time.Duration) {
+func (f *Fleet) RecordWeightLoad(service string, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.engine(service).WeightLoads.Observe(took)
 }
 
-// Loads returns what is known of a service's loads of weights.
-func (f *Fleet) Loads(service string) forecast.WeightLoads {
+// WeightLoads returns what is known of a service's loads of weights.
+func (f *Fleet) WeightLoads(service string) forecast.WeightLoads {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.engine(service).WeightLoads
 }
 
-// Figures returns what was learnt of the engines of the services that run models.
-func (f *Fleet) Figures(now time.Time) map[string]forecast.Coefficients {
+// EngineCoefficients returns what was learnt of the engines of the services that run models.
+func (f *Fleet) EngineCoefficients(now time.Time) map[string]forecast.Coefficients {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := map[string]forecast.Coefficients{}
@@ -68,14 +68,14 @@
 	return out
 }
 
-// Words returns what this process observed of engines, to be told to the others.
-func (f *Fleet) Words(now time.Time) []forecast.Report {
+// EngineReports returns what this process observed of engines, to be told to the others.
+func (f *Fleet) EngineReports(now time.Time) []forecast.Report {
 	return f.wordsBy((*forecast.Estimator).Report, now)
 }
 
-// GroupWords returns what this process and those of its group observed of engines,
+// GroupEngineReports returns what this process and those of its group observed of engines,
 // for the other groups.
-func (f *Fleet) GroupWords(now time.Time) []forecast.Report {
+func (f *Fleet) GroupEngineReports(now time.Time) []forecast.Report {
 	return f.wordsBy((*forecast.Estimator).GroupReport, now)
 }
 
@@ -91,8 +91,8 @@
 	return out
 }
 
-// HeardWords takes what another process observed of engines.
-func (f *Fleet) HeardWords(sender string, all []forecast.Report, now time.Time) {
+// MergeEngineReports takes what another process observed of engines.
+func (f *Fleet) MergeEngineReports(sender string, all []forecast.Report, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, w := range all {
@@ -100,8 +100,8 @@
 	}
 }
 
-// HeardGroupWords takes what another group observed of engines.
-func (f *Fleet) HeardGroupWords(group int, all []forecast.Report, now time.Time) {
+// MergeGroupEngineReports takes what another group observed of engines.
+func (f *Fleet) MergeGroupEngineReports(group int, all []forecast.Report, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, w := range all {
--- a/fleet/events.go
+++ b/fleet/events.go
@@ -25,13 +25,13 @@
 	Boot int64
 	// Next is the number to ask from the next time.
 	Next int64
-	// Lost says that events between are gone.
-	Lost   bool
+	// Gap says that events between are gone.
+	Gap    bool
 	Events []CacheEvent
 }
 
-// Reading says which events to read.
-type Reading struct {
+// CacheEventRequest says which events to read.
+type CacheEventRequest struct {
 	// Target is the runner that is meant: once it has ended, another may answer at
 	// its address. It is empty for a store.
 	Target  string
@@ -41,25 +41,25 @@
 	Wait time.Duration
 }
 
-// EventReader reads a runner's cache events. An answer that refuses the reading
+// CacheEventReader reads a runner's cache events. An answer that refuses the reading
 // is no error but brings nothing; an error is a runner that does not answer, or
 // another one at its address.
-type EventReader interface {
-	CacheEvents(ctx context.Context, r Reading) (CacheEvents, error)
+type CacheEventReader interface {
+	CacheEvents(ctx context.Context, r CacheEventRequest) (CacheEvents, error)
 }
 
-// EventWatch keeps the fleet's knowledge of the runners' caches current, so
+// CacheWatcher keeps the fleet's knowledge of the runners' caches current, so
 // that each process knows also what the others had read where. Belief only
 // steers: a runner alone decides what it reuses, and salts keep apart what must
 // not be shared.
-type EventWatch struct {
+type CacheWatcher struct {
 	fleet  *Fleet
-	reader EventReader
+	reader CacheEventReader
 }
 
-// NewEventWatch returns a watch that has not begun.
-func NewEventWatch(f *Fleet, r EventReader) *EventWatch {
-	return &EventWatch{fleet: f, reader: r}
+// NewCacheWatcher returns a watch that has not begun.
+func NewCacheWatcher(f *Fleet, r CacheEventReader) *CacheWatcher {
+	return &CacheWatcher{fleet: f, reader: r}
 }
 
 // Figures of the watch.
@@ -73,7 +73,7 @@
 )
 
 // Run reads until ctx ends.
-func (w *EventWatch) Run(ctx context.Context) {
+func (w *CacheWatcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, s := range w.fleet.dueForEvents() {
 			go w.read(ctx, s)
@@ -88,7 +88,7 @@
 // due is one reading to make.
 type due struct {
 	cache   *cache
-	reading Reading
+	reading CacheEventRequest
 }
 
 // dueForEvents returns the runners of models, and the stores of kept KV cache,
@@ -129,16 +129,16 @@
 		return out
 	}
 	c.reading = true
-	return append(out, due{cache: c, reading: Reading{Target: target, Address: address, Since: c.next, Wait: readWait}})
+	return append(out, due{cache: c, reading: CacheEventRequest{Target: target, Address: address, Since: c.next, Wait: readWait}})
 }
 
-func (w *EventWatch) read(ctx context.Context, d due) {
+func (w *CacheWatcher) read(ctx context.Context, d due) {
 	events, err := w.reader.CacheEvents(ctx, d.reading)
-	if err == nil && d.reading.Target != "" && !w.fleet.Hear(Life{ID: d.reading.Target, Born: events.Born}) {
+	if err == nil && d.reading.Target != "" && !w.fleet.Observe(Instance{ID: d.reading.Target, Born: events.Born}) {
 		w.fleet.discard(d.cache)
 		return
 	}
-	if errors.Is(err, ErrOtherRunner) {
+	if errors.Is(err, ErrTargetReplaced) {
 		w.fleet.replaced(d)
 		return
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -15,7 +15,7 @@
 
 // state is everything known of one target.
 type state struct {
-	runner Runner
+	runner Target
 	placed placement.Runner
 	health health.Tracker
 	// weights are the versions that it said to have, or that somebody saw there;
@@ -93,9 +93,9 @@
 	news      newsAge
 	groupNews newsAge
 	// reborn is told of each later life of a target.
-	reborn func(now, former Life)
+	reborn func(now, former Instance)
 	// ended is told of each life that was seen to have ended.
-	ended func(Life)
+	ended func(Instance)
 	// rates keeps the limits that targets name, of which relimit says that they changed;
 	// nil keeps none.
 	rates   *quota.Limiter
@@ -128,31 +128,31 @@
 	}
 }
 
-// Without switches mechanisms off, before the view is used.
-func (f *Fleet) Without(off policy.Disabled) {
+// Disable switches mechanisms off, before the view is used.
+func (f *Fleet) Disable(off policy.Disabled) {
 	f.off = off
 }
 
-// Off reports whether a mechanism is switched off.
-func (f *Fleet) Off(m policy.Mechanism) bool {
+// Disabled reports whether a mechanism is switched off.
+func (f *Fleet) Disabled(m policy.Mechanism) bool {
 	return f.off[m]
 }
 
 // Put takes a target's entry of the list, and reports whether it is of the life
 // that holds.
-func (f *Fleet) Put(r Runner) bool {
+func (f *Fleet) Put(r Target) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.states[r.ID] == nil {
-		f.states[r.ID] = f.returned(r.Life())
+		f.states[r.ID] = f.returned(r.Instance())
 	}
-	s := f.about(r.Life())
+	s := f.about(r.Instance())
 	if s == nil {
 		return false
 	}
 	r.Born = s.runner.Born
 	s.listedDraining = r.Draining
-	if r.Draining = r.Draining || f.hasLeft(r.Life()); r.Draining && !s.listedDraining && s.leavingAt.IsZero() {
+	if r.Draining = r.Draining || f.hasLeft(r.Instance()); r.Draining && !s.listedDraining && s.leavingAt.IsZero() {
 		s.leavingAt = f.left[r.ID].at
 	}
 	moved := s.runner.Service != r.Service || s.runner.Address != r.Address || s.runner.Draining != r.Draining
@@ -202,12 +202,12 @@
 	s.busyUntil, s.metBusyUntil = time.Time{}, time.Time{}
 }
 
-// Guess notes the newest version named of a model for a target that refused
+// GuessWeights notes the newest version named of a model for a target that refused
 // because its weights are others, without a word which: most likely it has just
 // loaded those. A guess steers this process's own requests only. Were it told, or
 // taken by the holder of the orders, a wrong one would keep the order away that
 // makes it true.
-func (f *Fleet) Guess(l Life, model string) {
+func (f *Fleet) GuessWeights(l Instance, model string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, newest := f.about(l), f.named[model].newest()
@@ -219,12 +219,12 @@
 }
 
 // Remove takes a target out whose entry has gone, and returns what was listed last.
-func (f *Fleet) Remove(id string) (last Runner, ok bool) {
+func (f *Fleet) Remove(id string) (last Target, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, ok := f.states[id]
 	if !ok {
-		return Runner{}, false
+		return Target{}, false
 	}
 	f.keep(s)
 	delete(f.states, id)
@@ -232,9 +232,9 @@
 	return s.runner, true
 }
 
-// Ended takes a life out that was seen to have ended, whatever the list says. A
+// RecordEnd takes a life out that was seen to have ended, whatever the list says. A
 // later one stays.
-func (f *Fleet) Ended(l Life) {
+func (f *Fleet) RecordEnd(l Instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.holds(l) {
@@ -244,7 +244,7 @@
 
 // end takes a target out whose life has ended; the caller holds mu.
 func (f *Fleet) end(s *state) {
-	life := s.runner.Life()
+	life := s.runner.Instance()
 	delete(f.states, life.ID)
 	f.scattered, f.relimit = true, true
 	if f.ended != nil {
@@ -281,15 +281,15 @@
 	f.services = services
 }
 
-// Runners returns the targets of a service and the weights known of each.
-func (f *Fleet) Runners(service string) []Runner {
+// Targets returns the targets of a service and the weights known of each.
+func (f *Fleet) Targets(service string) []Target {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	g := f.group(service)
 	if g == nil {
 		return nil
 	}
-	out := make([]Runner, 0, len(g.states))
+	out := make([]Target, 0, len(g.states))
 	for _, s := range g.states {
 		r := s.runner
 		r.Weights = maps.Clone(s.weights)
@@ -298,15 +298,15 @@
 	return out
 }
 
-// Live reports whether a life holds, is still listed and takes new work.
-func (f *Fleet) Live(l Life) bool {
+// Available reports whether a life holds, is still listed and takes new work.
+func (f *Fleet) Available(l Instance) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.holds(l) && !f.states[l.ID].runner.Draining
 }
 
-// Inflight returns a target's load over all processes, as far as they told.
-func (f *Fleet) Inflight(l Life) Occupancy {
+// Occupancy returns a target's load over all processes, as far as they told.
+func (f *Fleet) Occupancy(l Instance) Occupancy {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.about(l); s != nil {
@@ -315,8 +315,8 @@
 	return Occupancy{}
 }
 
-// Learn notes a version that a target was seen to have.
-func (f *Fleet) Learn(l Life, model string, version int64, now time.Time) {
+// RecordWeights notes a version that a target was seen to have.
+func (f *Fleet) RecordWeights(l Instance, model string, version int64, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.about(l); s != nil && s.learn(model, version) {
@@ -324,8 +324,8 @@
 	}
 }
 
-// Busy notes that an order keeps new requests out of a target until a time.
-func (f *Fleet) Busy(l Life, until time.Time) {
+// RecordBusy notes that an order keeps new requests out of a target until a time.
+func (f *Fleet) RecordBusy(l Instance, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.about(l); s != nil {
@@ -333,9 +333,9 @@
 	}
 }
 
-// Failed notes that a target failed a request. One that carries an order out may
+// RecordFailure notes that a target failed a request. One that carries an order out may
 // end its streams for that, which says nothing of its health.
-func (f *Fleet) Failed(l Life, now time.Time) {
+func (f *Fleet) RecordFailure(l Instance, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.about(l); s != nil && !now.Before(s.busyUntil) {
@@ -343,8 +343,8 @@
 	}
 }
 
-// Unreachable notes that no connection to a target could be made.
-func (f *Fleet) Unreachable(l Life, now time.Time) {
+// RecordUnreachable notes that no connection to a target could be made.
+func (f *Fleet) RecordUnreachable(l Instance, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.about(l); s != nil {
@@ -352,16 +352,16 @@
 	}
 }
 
-// Silent reports whether a target no longer answers anything.
-func (f *Fleet) Silent(id string) bool {
+// Unresponsive reports whether a target no longer answers anything.
+func (f *Fleet) Unresponsive(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.states[id]
 	return s == nil || s.silent
 }
 
-// Succeeded notes a good answer.
-func (f *Fleet) Succeeded(l Life) {
+// RecordSuccess notes a good answer.
+func (f *Fleet) RecordSuccess(l Instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.about(l); s != nil {
@@ -369,8 +369,8 @@
 	}
 }
 
-// Loaded notes what a target said of its load.
-func (f *Fleet) Loaded(l Life, load Load, now time.Time) {
+// RecordLoad notes what a target said of its load.
+func (f *Fleet) RecordLoad(l Instance, load Load, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.about(l); s != nil {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -12,16 +12,16 @@
 
 var start = time.Unix(1000, 0)
 
-func runner(id string, weights int64) Runner {
-	return Runner{ID: id, Service: "lm", Address: id + ":1", Zone: "z", Slots: 8, Weights: map[string]int64{"m": weights}}
+func runner(id string, weights int64) Target {
+	return Target{ID: id, Service: "lm", Address: id + ":1", Zone: "z", Slots: 8, Weights: map[string]int64{"m": weights}}
 }
 
 func query() Query {
 	return Query{
-		Service:       "lm",
-		Model:         "m",
-		OldWeightsFor: 6 * time.Second,
-		Weights:       placement.CostWeights{Miss: 2, Wait: 1},
+		Service:      "lm",
+		Model:        "m",
+		MaxStaleness: 6 * time.Second,
+		CostWeights:  placement.CostWeights{Miss: 2, Wait: 1},
 		Chain: func(weights int64) prefix.Chain {
 			hash := uint64(weights) * 1000
 			shared := prefix.Boundary{Hash: hash + 1, Tokens: 6000}
@@ -38,33 +38,33 @@
 func TestOldWeightsCountFromTheFirstNamingMissed(t *testing.T) {
 	f := New("z")
 	f.Put(runner("old", 1))
-	f.Name("m", 2, start, false)
-	f.Name("m", 3, start.Add(5*time.Second), false)
+	f.RecordDesired("m", 2, start, false)
+	f.RecordDesired("m", 3, start.Add(5*time.Second), false)
 	if _, ok := f.Choose(query(), start.Add(5900*time.Millisecond)); !ok {
 		t.Error("a runner within the bound was not chosen")
 	}
 	if c, ok := f.Choose(query(), start.Add(6100*time.Millisecond)); ok {
-		t.Errorf("chose %s, whose weights have been replaced for over the bound", c.Runner.ID)
+		t.Errorf("chose %s, whose weights have been replaced for over the bound", c.Target.ID)
 	}
 }
 
 // Versions never go back, whatever a late listing says of a runner.
 func TestWeightsNeverGoBack(t *testing.T) {
 	f := New("z")
-	f.Name("m", 3, start, false)
+	f.RecordDesired("m", 3, start, false)
 	f.Put(runner("a", 2))
-	f.Learn(Life{ID: "a"}, "m", 3, start)
+	f.RecordWeights(Instance{ID: "a"}, "m", 3, start)
 	f.Put(runner("a", 2))
 	c, ok := f.Choose(query(), start)
-	if !ok || c.Weights != 3 {
-		t.Errorf("chose %+v with weights %d, want 3", c.Runner, c.Weights)
+	if !ok || c.WeightsVersion != 3 {
+		t.Errorf("chose %+v with weights %d, want 3", c.Target, c.WeightsVersion)
 	}
-	if f.Name("m", 2, start, false) {
+	if f.RecordDesired("m", 2, start, false) {
 		t.Error("an older version was taken for a new naming")
 	}
 }
 
-func named(f *Fleet, runners ...Runner) *Fleet {
+func named(f *Fleet, runners ...Target) *Fleet {
 	for _, r := range runners {
 		f.Put(r)
 	}
@@ -79,8 +79,8 @@
 	silence := func(id string, silent bool) { f.took(&f.states[id].cache, CacheEvents{}, !silent, start) }
 	silence("a", true)
 	for range 4 {
-		if c, _ := f.Choose(query(), start); c.Runner.ID != "b" {
-			t.Fatalf("chose %s", c.Runner.ID)
+		if c, _ := f.Choose(query(), start); c.Target.ID != "b" {
+			t.Fatalf("chose %s", c.Target.ID)
 		}
 	}
 	silence("b", true)
@@ -88,8 +88,8 @@
 		t.Error("with all silent nothing was chosen")
 	}
 	silence("a", false)
-	if c, _ := f.Choose(query(), start); c.Runner.ID != "a" {
-		t.Errorf("chose %s after a came back", c.Runner.ID)
+	if c, _ := f.Choose(query(), start); c.Target.ID != "a" {
+		t.Errorf("chose %s after a came back", c.Target.ID)
 	}
 }
 
@@ -100,11 +100,11 @@
 	chain := query().Chain(1)
 	shared := Part{Hash: chain.Boundaries[0].Hash, Tokens: 6000}
 	f.states["a"].capacity = 100000
-	f.HeardFindings([]Finding{{Target: Life{ID: "a"}, Parts: []Part{shared}}}, start)
-	f.HeardLoad("other", []Occupancy{{Target: Life{ID: "a"}, Inflight: 1, Prefill: 900000}}, start)
+	f.MergeTargetUpdates([]TargetUpdate{{Target: Instance{ID: "a"}, Parts: []Part{shared}}}, start)
+	f.MergeOccupancy("other", []Occupancy{{Target: Instance{ID: "a"}, Inflight: 1, PrefillTokens: 900000}}, start)
 	c, _ := f.Choose(query(), start)
-	if c.Runner.ID != "b" || c.Source != "a:1" {
-		t.Errorf("chose %s with source %q, want the idle b that fetches from a", c.Runner.ID, c.Source)
+	if c.Target.ID != "b" || c.Source != "a:1" {
+		t.Errorf("chose %s with source %q, want the idle b that fetches from a", c.Target.ID, c.Source)
 	}
 }
 
@@ -119,11 +119,11 @@
 	}{{2000, "a"}, {100000, "b"}} {
 		f := named(New("z"), runner("a", 1), runner("b", 1))
 		f.states["a"].capacity = 100000
-		f.HeardFindings([]Finding{{Target: Life{ID: "a"}, Parts: []Part{{Hash: query().Chain(1).Boundaries[0].Hash, Tokens: 6000}}}}, start)
-		f.HeardLoad("other", []Occupancy{{Target: Life{ID: "a"}, Inflight: 1, Prefill: test.backlog}}, start)
+		f.MergeTargetUpdates([]TargetUpdate{{Target: Instance{ID: "a"}, Parts: []Part{{Hash: query().Chain(1).Boundaries[0].Hash, Tokens: 6000}}}}, start)
+		f.MergeOccupancy("other", []Occupancy{{Target: Instance{ID: "a"}, Inflight: 1, PrefillTokens: test.backlog}}, start)
 		c, _ := f.Choose(query(), start)
-		if c.Runner.ID != test.want {
-			t.Errorf("with %d tokens before it the prompt went to %s (fetches %d from %q)", test.backlog, c.Runner.ID, c.Fetched, c.Source)
+		if c.Target.ID != test.want {
+			t.Errorf("with %d tokens before it the prompt went to %s (fetches %d from %q)", test.backlog, c.Target.ID, c.FetchTokens, c.Source)
 		}
 	}
 }
@@ -132,25 +132,25 @@
 // times are learnt, and runners fetch from there no more.
 func TestASlowSourceIsNotUsed(t *testing.T) {
 	f := named(New("z"), runner("a", 1))
-	f.SetStores([]KeptStore{{Address: "s:1", Capacity: 1e6, Zone: "z"}})
+	f.SetStores([]KVCacheStore{{Address: "s:1", Capacity: 1e6, Zone: "z"}})
 	chain := query().Chain(1)
 	f.stores["s:1"].cached.Use(chain.Boundaries[0].Hash, 6000, 0)
-	if c, _ := f.Choose(query(), start); c.Fetched != 6000 {
-		t.Errorf("%d tokens of 6000 are fetched before anything is known", c.Fetched)
+	if c, _ := f.Choose(query(), start); c.FetchTokens != 6000 {
+		t.Errorf("%d tokens of 6000 are fetched before anything is known", c.FetchTokens)
 	}
 	now := start
 	for i := range 200 {
 		tokens := 200 + 100*(i%40)
-		read := f.Begin(Life{ID: "a"}, Stay{Missing: tokens, Prompt: tokens}, now)
-		moved := f.Begin(Life{ID: "a"}, Stay{Missing: 300, Prompt: 6300, Moved: forecast.KVTransfer{FromStore: 6000}}, now)
-		read.First(now.Add(50*time.Millisecond + time.Duration(tokens)*20*time.Microsecond))
-		moved.First(now.Add(2 * time.Second))
+		read := f.Begin(Instance{ID: "a"}, RequestLoad{UncachedTokens: tokens, PromptTokens: tokens}, now)
+		moved := f.Begin(Instance{ID: "a"}, RequestLoad{UncachedTokens: 300, PromptTokens: 6300, Transfer: forecast.KVTransfer{FromStore: 6000}}, now)
+		read.FirstEvent(now.Add(50*time.Millisecond + time.Duration(tokens)*20*time.Microsecond))
+		moved.FirstEvent(now.Add(2 * time.Second))
 		read.End()
 		moved.End()
 		now = now.Add(20 * time.Millisecond)
 	}
-	if c, _ := f.Choose(query(), now); c.Fetched != 0 {
-		t.Errorf("%d tokens are fetched though two seconds of it were met", c.Fetched)
+	if c, _ := f.Choose(query(), now); c.FetchTokens != 0 {
+		t.Errorf("%d tokens are fetched though two seconds of it were met", c.FetchTokens)
 	}
 }
 
@@ -161,7 +161,7 @@
 	near, far := runner("near", 1), runner("far", 1)
 	near.Zone, far.Zone = "store", "away"
 	f := named(New("away"), near, far)
-	f.SetStores([]KeptStore{{Address: "s:1", Capacity: 1e6, Zone: "store", LinkMbps: 100000}})
+	f.SetStores([]KVCacheStore{{Address: "s:1", Capacity: 1e6, Zone: "store", LinkMbps: 100000}})
 	for i := range 20 {
 		q := query()
 		q.TokenBytes = 200000
@@ -170,8 +170,8 @@
 			return prefix.Chain{Tokens: 9000, Levels: []prefix.Boundary{shared}, Boundaries: []prefix.Boundary{shared}}
 		}
 		f.stores["s:1"].cached.Use(uint64(i)<<32+1, 6000, 0)
-		if c, _ := f.Choose(q, start); c.Runner.ID != "near" {
-			t.Errorf("prompt %d: chose the runner %s", i, c.Runner.ID)
+		if c, _ := f.Choose(q, start); c.Target.ID != "near" {
+			t.Errorf("prompt %d: chose the runner %s", i, c.Target.ID)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 // first, and not again until the store had time to tell of them.
 func TestPromptIsSavedOnce(t *testing.T) {
 	f := named(New("z"), runner("a", 1))
-	f.SetStores([]KeptStore{{Address: "s:1", Capacity: 1e6}})
+	f.SetStores([]KVCacheStore{{Address: "s:1", Capacity: 1e6}})
 	first, _ := f.Choose(query(), start)
 	second, _ := f.Choose(query(), start.Add(time.Second))
 	third, _ := f.Choose(query(), start.Add(saveAgain+time.Second))
@@ -194,12 +194,12 @@
 func TestPromptIsSavedByOneOfTwo(t *testing.T) {
 	entry := func() *Fleet {
 		f := named(New("z"), runner("a", 1))
-		f.SetStores([]KeptStore{{Address: "s:1", Capacity: 1e6}})
+		f.SetStores([]KVCacheStore{{Address: "s:1", Capacity: 1e6}})
 		return f
 	}
 	one, two := entry(), entry()
 	first, _ := one.Choose(query(), start)
-	two.HeardSaves(one.Saves(), start)
+	two.MergeSaves(one.Saves(), start)
 	second, _ := two.Choose(query(), start.Add(time.Second))
 	third, _ := two.Choose(query(), start.Add(saveAgain+time.Second))
 	if first.SaveTo != "s:1" || second.SaveTo != "" || third.SaveTo != "s:1" {
@@ -215,8 +215,8 @@
 func learnRuns(f *Fleet, id string, output int, read, held time.Duration) {
 	now := start
 	for range 20 {
-		ticket := f.Begin(Life{ID: id}, Stay{Missing: 9000, Prompt: 9000, Output: output}, now)
-		ticket.First(now.Add(read))
+		ticket := f.Begin(Instance{ID: id}, RequestLoad{UncachedTokens: 9000, PromptTokens: 9000, MaxOutputTokens: output}, now)
+		ticket.FirstEvent(now.Add(read))
 		ticket.Complete(now.Add(read + held))
 		ticket.End()
 		now = now.Add(10 * time.Millisecond)
@@ -229,12 +229,12 @@
 	f := named(New("z"), runner("a", 1), runner("b", 1), runner("c", 1))
 	learnRuns(f, "a", 800, 50*time.Millisecond, 3*time.Second)
 	q := query()
-	q.Input, q.Output = 300, 800
+	q.InputTokens, q.MaxOutputTokens = 300, 800
 	used := map[string]int{}
 	for range 8 {
 		c, _ := f.Choose(q, start)
-		f.Begin(c.Runner.Life(), Stay{Long: c.Long}, start)
-		used[c.Runner.ID]++
+		f.Begin(c.Target.Instance(), RequestLoad{Long: c.Long}, start)
+		used[c.Target.ID]++
 	}
 	if len(used) != 2 {
 		t.Errorf("8 long runs of 8 slots went to %v, want two runners", used)
@@ -249,13 +249,13 @@
 	f := named(New("z"), runner("a", 1), runner("b", 1), runner("c", 1))
 	learnRuns(f, "a", 800, 500*time.Millisecond, 3*time.Second)
 	q := query()
-	q.Input, q.Output = 9000, 800
+	q.InputTokens, q.MaxOutputTokens = 9000, 800
 	used := map[string]int{}
 	for i := range 9 {
 		q.Chain = distinctChain(i)
 		c, _ := f.Choose(q, start)
-		f.Begin(c.Runner.Life(), Stay{Missing: 9000, Prompt: 9000, Long: c.Long}, start)
-		used[c.Runner.ID]++
+		f.Begin(c.Target.Instance(), RequestLoad{UncachedTokens: 9000, PromptTokens: 9000, Long: c.Long}, start)
+		used[c.Target.ID]++
 	}
 	if len(used) != 3 || used["a"] > 4 || used["b"] > 4 || used["c"] > 4 {
 		t.Errorf("9 runs with long prompts went to %v, want about three on each runner", used)
@@ -271,9 +271,9 @@
 	}{{2 * time.Second, false}, {500 * time.Millisecond, true}} {
 		f := named(New("z"), runner("a", 1))
 		learnRuns(f, "a", 800, 50*time.Millisecond, time.Second)
-		f.WeightsLoaded("lm", test.load)
+		f.RecordWeightLoad("lm", test.load)
 		q := query()
-		q.Input, q.Output = 300, 800
+		q.InputTokens, q.MaxOutputTokens = 300, 800
 		if c, _ := f.Choose(q, start); c.Long != test.want {
 			t.Errorf("a run of a second is long: %v, beside a load of %v", c.Long, test.load)
 		}
@@ -293,14 +293,14 @@
 // target, of which nothing is known but its entry.
 func TestReusedAddressIsAnotherTarget(t *testing.T) {
 	f := named(New("z"), runner("a", 1))
-	f.Begin(Life{ID: "a"}, Stay{Chain: query().Chain(1), Capacity: 1e6}, start)
+	f.Begin(Instance{ID: "a"}, RequestLoad{Chain: query().Chain(1), Capacity: 1e6}, start)
 	f.Remove("a")
 	next := runner("a2", 1)
 	next.Address = "a:1"
 	f.Put(next)
 	c, _ := f.Choose(query(), start)
-	if c.Runner.ID != "a2" || c.Cached != 0 {
-		t.Errorf("chose %s with %d tokens cached", c.Runner.ID, c.Cached)
+	if c.Target.ID != "a2" || c.CachedTokens != 0 {
+		t.Errorf("chose %s with %d tokens cached", c.Target.ID, c.CachedTokens)
 	}
 }
 
@@ -309,10 +309,10 @@
 func TestLongPromptsKeepAwayFromLongRuns(t *testing.T) {
 	f := named(New("z"), runner("a", 1), runner("b", 1))
 	first, _ := f.Choose(query(), start)
-	other := map[string]string{"a": "b", "b": "a"}[first.Runner.ID]
-	f.HeardLoad("peer", []Occupancy{{Target: first.Runner.Life(), Inflight: 7, Long: 60}}, start)
-	if c, _ := f.Choose(query(), start); c.Runner.ID != other {
-		t.Errorf("chose %s, where 60 long runs stand still", c.Runner.ID)
+	other := map[string]string{"a": "b", "b": "a"}[first.Target.ID]
+	f.MergeOccupancy("peer", []Occupancy{{Target: first.Target.Instance(), Inflight: 7, Long: 60}}, start)
+	if c, _ := f.Choose(query(), start); c.Target.ID != other {
+		t.Errorf("chose %s, where 60 long runs stand still", c.Target.ID)
 	}
 }
 
@@ -355,14 +355,14 @@
 	f := named(New("z"), runner("a", 1))
 	f.dueForEvents()
 	f.took(&f.states["a"].cache, CacheEvents{}, false, start)
-	if !f.Silent("a") {
+	if !f.Unresponsive("a") {
 		t.Fatal("a runner without an answer is not silent")
 	}
 	f.SetMembers("stranger", memberNames(41))
 	if n := len(f.dueForEvents()); n != 0 {
 		t.Errorf("%d readings by one that is no reader", n)
 	}
-	if f.Silent("a") {
+	if f.Unresponsive("a") {
 		t.Error("a runner stays silent though nobody asks it any more")
 	}
 }
@@ -372,7 +372,7 @@
 // reading takes fifty, and queue before those on the stores' links.
 func TestFewTokensAreNotMoved(t *testing.T) {
 	f := named(New("z"), runner("a", 1), runner("b", 1))
-	f.SetStores([]KeptStore{{Address: "s:1", Capacity: 1e6}})
+	f.SetStores([]KVCacheStore{{Address: "s:1", Capacity: 1e6}})
 	q := query()
 	q.Chain = func(int64) prefix.Chain {
 		shared := prefix.Boundary{Hash: 1, Tokens: 200}
@@ -390,23 +390,23 @@
 func TestAStartTakesOlderWeightsForOverUntilItIsTold(t *testing.T) {
 	const within = 10 * time.Second
 	old, fresh := New("z"), New("z")
-	old.Name("m", 1, start.Add(-time.Hour), true)
-	old.Name("m", 2, start.Add(-12*time.Second), false)
-	old.Name("m", 3, start.Add(-7*time.Second), false)
-	old.Name("m", 5, start.Add(-2*time.Second), false)
-	fresh.Name("m", 5, start.Add(-within), true)
-	behind := func(version int64) time.Duration { return fresh.BehindFor("m", version, start).Round(time.Second) }
-	if behind(4) < within || len(fresh.Namings(within, start)) != 0 {
-		t.Errorf("behind by %v before anybody told, and tells %v", behind(4), fresh.Namings(within, start))
-	}
-	fresh.HeardNamings(old.Namings(within, start), start)
+	old.RecordDesired("m", 1, start.Add(-time.Hour), true)
+	old.RecordDesired("m", 2, start.Add(-12*time.Second), false)
+	old.RecordDesired("m", 3, start.Add(-7*time.Second), false)
+	old.RecordDesired("m", 5, start.Add(-2*time.Second), false)
+	fresh.RecordDesired("m", 5, start.Add(-within), true)
+	behind := func(version int64) time.Duration { return fresh.StaleFor("m", version, start).Round(time.Second) }
+	if behind(4) < within || len(fresh.DesiredHistory(within, start)) != 0 {
+		t.Errorf("behind by %v before anybody told, and tells %v", behind(4), fresh.DesiredHistory(within, start))
+	}
+	fresh.MergeDesiredHistory(old.DesiredHistory(within, start), start)
 	for version, want := range map[int64]time.Duration{1: 12 * time.Second, 2: 7 * time.Second, 3: 2 * time.Second, 4: 2 * time.Second, 5: 0} {
 		if got := behind(version); got != want {
 			t.Errorf("weights %d are behind by %v, want %v", version, got, want)
 		}
 	}
-	late := old.Namings(within, start)
-	if news := fresh.HeardNamings(late, start.Add(5*time.Second)); len(news) != 0 || behind(4) != 2*time.Second {
+	late := old.DesiredHistory(within, start)
+	if news := fresh.MergeDesiredHistory(late, start.Add(5*time.Second)); len(news) != 0 || behind(4) != 2*time.Second {
 		t.Errorf("a late word changed %v", news)
 	}
 }
--- a/fleet/life_test.go
+++ b/fleet/life_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func bornAt(r Runner, born int64) Runner {
+func bornAt(r Target, born int64) Target {
 	r.Born = born
 	return r
 }
@@ -21,24 +21,24 @@
 // begun; counted out of that one they made it look idle while it was full.
 func TestNothingOfAFormerLifeStays(t *testing.T) {
 	f := named(New("z"), bornAt(runner("a", 1), 10))
-	former := Life{ID: "a", Born: 10}
-	old := f.Begin(former, Stay{Missing: 9000, Prompt: 9000, Chain: query().Chain(1), Capacity: 1e6, Long: true}, start)
-	f.Loaded(former, Load{Running: 8, Waiting: 4, Slots: 8}, start)
-	f.Unreachable(former, start)
+	former := Instance{ID: "a", Born: 10}
+	old := f.Begin(former, RequestLoad{UncachedTokens: 9000, PromptTokens: 9000, Chain: query().Chain(1), Capacity: 1e6, Long: true}, start)
+	f.RecordLoad(former, Load{Running: 8, Waiting: 4, Slots: 8}, start)
+	f.RecordUnreachable(former, start)
 	f.took(&f.states["a"].cache, CacheEvents{}, false, start)
-	f.HeardLoad("other", []Occupancy{{Target: former, Inflight: 5}}, start)
+	f.MergeOccupancy("other", []Occupancy{{Target: former, Inflight: 5}}, start)
 	if !f.Put(bornAt(runner("a", 1), 20)) {
 		t.Fatal("the later life was left out")
 	}
-	if n, held := f.Inflight(Life{ID: "a", Born: 20}), heldAt(f, "a"); n.Inflight+n.Prefill+n.Long != 0 || held != 0 {
+	if n, held := f.Occupancy(Instance{ID: "a", Born: 20}), heldAt(f, "a"); n.Inflight+n.PrefillTokens+n.Long != 0 || held != 0 {
 		t.Errorf("the new life began with load %+v and %d tokens", n, held)
 	}
 	if s := f.states["a"]; s.health.Penalty(start) != 0 || s.load != (Load{}) || s.silent {
 		t.Errorf("the new life pays for the former: penalty %v, load %+v, silent %v", s.health.Penalty(start), s.load, s.silent)
 	}
-	f.Begin(Life{ID: "a", Born: 20}, Stay{Missing: 100}, start)
+	f.Begin(Instance{ID: "a", Born: 20}, RequestLoad{UncachedTokens: 100}, start)
 	old.End()
-	if n := f.Inflight(Life{ID: "a", Born: 20}); n.Inflight != 1 || n.Prefill != 100 {
+	if n := f.Occupancy(Instance{ID: "a", Born: 20}); n.Inflight != 1 || n.PrefillTokens != 100 {
 		t.Errorf("the end of a former life's request left %+v of the new one's", n)
 	}
 }
@@ -48,7 +48,7 @@
 // ways at once, and must not undo what is known of the new one.
 func TestLateNewsOfAFormerLifeChangesNothing(t *testing.T) {
 	f := named(New("z"), bornAt(runner("a", 1), 20))
-	former, chain := Life{ID: "a", Born: 10}, query().Chain(1)
+	former, chain := Instance{ID: "a", Born: 10}, query().Chain(1)
 	shared := Part{Hash: chain.Boundaries[0].Hash, Tokens: 6000}
 	f.states["a"].capacity = 1e6
 	entry := bornAt(runner("a", 7), 10)
@@ -56,15 +56,15 @@
 	if f.Put(entry) {
 		t.Error("the former life's entry was taken")
 	}
-	f.HeardLoad("other", []Occupancy{{Target: former, Inflight: 5}}, start)
-	f.HeardFindings([]Finding{{Target: former, Weights: map[string]int64{"m": 7}, Busy: time.Second, Parts: []Part{shared}}}, start)
-	f.HeardCaches("other", []CacheNews{{Address: "a:1", Target: former, Boot: 1, Next: 9, Stored: []Part{shared}}}, start)
-	f.Learn(former, "m", 7, start)
-	f.Guess(former, "m")
-	f.Busy(former, start.Add(time.Second))
-	f.Unreachable(former, start)
-	f.Ended(former)
-	f.Begin(former, Stay{Missing: 9000, Chain: chain}, start)
+	f.MergeOccupancy("other", []Occupancy{{Target: former, Inflight: 5}}, start)
+	f.MergeTargetUpdates([]TargetUpdate{{Target: former, Weights: map[string]int64{"m": 7}, BusyFor: time.Second, Parts: []Part{shared}}}, start)
+	f.MergeCacheUpdates("other", []CacheUpdate{{Address: "a:1", Target: former, Boot: 1, Next: 9, Stored: []Part{shared}}}, start)
+	f.RecordWeights(former, "m", 7, start)
+	f.GuessWeights(former, "m")
+	f.RecordBusy(former, start.Add(time.Second))
+	f.RecordUnreachable(former, start)
+	f.RecordEnd(former)
+	f.Begin(former, RequestLoad{UncachedTokens: 9000, Chain: chain}, start)
 	s := f.states["a"]
 	if s == nil || s.runner.Born != 20 || s.runner.Draining || s.runner.Address != "a:1" {
 		t.Fatalf("the new life became %+v", s)
@@ -79,23 +79,23 @@
 // still tell of the former life undo nothing.
 func TestOthersHearOfANewLife(t *testing.T) {
 	first, second := named(New("z"), bornAt(runner("a", 1), 10)), named(New("z"), bornAt(runner("a", 1), 10))
-	second.Begin(Life{ID: "a", Born: 10}, Stay{Missing: 9000, Chain: query().Chain(1), Capacity: 1e6}, start)
-	var told []Life
-	second.OnRebirth(func(now, former Life) { told = append(told, now, former) })
-	first.Hear(Life{ID: "a", Born: 20})
-	second.HeardFindings(first.Findings(start), start)
-	second.HeardFindings(first.Findings(start.Add(time.Millisecond)), start)
-	if !second.Holds(Life{ID: "a", Born: 20}) || heldAt(second, "a") != 0 {
+	second.Begin(Instance{ID: "a", Born: 10}, RequestLoad{UncachedTokens: 9000, Chain: query().Chain(1), Capacity: 1e6}, start)
+	var told []Instance
+	second.OnRestart(func(now, former Instance) { told = append(told, now, former) })
+	first.Observe(Instance{ID: "a", Born: 20})
+	second.MergeTargetUpdates(first.TargetUpdates(start), start)
+	second.MergeTargetUpdates(first.TargetUpdates(start.Add(time.Millisecond)), start)
+	if !second.IsCurrent(Instance{ID: "a", Born: 20}) || heldAt(second, "a") != 0 {
 		t.Errorf("the other holds %+v with %d tokens", second.states["a"].runner, heldAt(second, "a"))
 	}
 	if len(told) != 2 || told[0].Born != 20 || told[1].Born != 10 {
 		t.Errorf("told of %v, want the new life and the former once", told)
 	}
-	first.HeardFindings([]Finding{{Target: Life{ID: "a", Born: 10}, Busy: time.Second}}, start)
+	first.MergeTargetUpdates([]TargetUpdate{{Target: Instance{ID: "a", Born: 10}, BusyFor: time.Second}}, start)
 	if !first.states["a"].busyUntil.IsZero() {
 		t.Error("a word of the former life was taken")
 	}
-	if n := len(first.Findings(start.Add(2 * newsFor))); n != 0 {
+	if n := len(first.TargetUpdates(start.Add(2 * newsFor))); n != 0 {
 		t.Errorf("%d findings long after; the word must not go round for good", n)
 	}
 }
@@ -110,7 +110,7 @@
 		next.Address = ended.Address
 		f := named(New("z"), ended, next)
 		part := Part{Hash: query().Chain(1).Boundaries[0].Hash, Tokens: 6000}
-		f.HeardCaches("other", []CacheNews{{Address: next.Address, Target: next.Life(), Boot: 1, Next: 2, Stored: []Part{part}}}, start)
+		f.MergeCacheUpdates("other", []CacheUpdate{{Address: next.Address, Target: next.Instance(), Boot: 1, Next: 2, Stored: []Part{part}}}, start)
 		if heldAt(f, "b") != 6000 || heldAt(f, "a") != 0 {
 			t.Fatalf("the ended runner is taken to hold %d tokens, the other %d", heldAt(f, "a"), heldAt(f, "b"))
 		}
@@ -121,9 +121,9 @@
 // and only the last life holds.
 func TestTwoLivesWithinASecond(t *testing.T) {
 	f := named(New("z"), bornAt(runner("a", 1), 1000))
-	f.Hear(Life{ID: "a", Born: 1900})
+	f.Observe(Instance{ID: "a", Born: 1900})
 	f.Put(bornAt(runner("a", 1), 1400))
-	if !f.Holds(Life{ID: "a", Born: 1900}) {
+	if !f.IsCurrent(Instance{ID: "a", Born: 1900}) {
 		t.Errorf("life %d holds, want 1900", f.states["a"].runner.Born)
 	}
 }
@@ -146,14 +146,14 @@
 // would send it requests that it refuses, and keep the order away that mends it.
 func TestANewLifesWeightsMayBeLower(t *testing.T) {
 	f := named(New("z"), bornAt(runner("a", 3), 10))
-	f.Name("m", 4, start, false)
-	f.Guess(Life{ID: "a", Born: 10}, "m")
-	f.Hear(Life{ID: "a", Born: 20})
+	f.RecordDesired("m", 4, start, false)
+	f.GuessWeights(Instance{ID: "a", Born: 10}, "m")
+	f.Observe(Instance{ID: "a", Born: 20})
 	if v := f.states["a"].version("m"); v != 3 {
 		t.Errorf("a new life that said nothing yet is taken to have weights %d, want 3 as it last said", v)
 	}
 	f.Put(bornAt(runner("a", 1), 20))
-	if v := f.Runners("lm")[0].Weights["m"]; v != 1 {
+	if v := f.Targets("lm")[0].Weights["m"]; v != 1 {
 		t.Errorf("weights %d, want 1", v)
 	}
 }
@@ -162,10 +162,10 @@
 // that is said later ends nothing.
 func TestWithoutAStartALifeGoesOn(t *testing.T) {
 	f := named(New("z"), runner("a", 1))
-	f.Begin(Life{ID: "a"}, Stay{Missing: 100}, start)
+	f.Begin(Instance{ID: "a"}, RequestLoad{UncachedTokens: 100}, start)
 	f.Put(bornAt(runner("a", 1), 10))
 	f.Put(runner("a", 1))
-	if n := f.Inflight(Life{ID: "a", Born: 10}).Inflight; n != 1 {
+	if n := f.Occupancy(Instance{ID: "a", Born: 10}).Inflight; n != 1 {
 		t.Errorf("%d requests, want 1", n)
 	}
 }
@@ -175,7 +175,7 @@
 func TestANewLifeIsNotTriedYet(t *testing.T) {
 	f := named(New("z"), bornAt(runner("a", 1), 10))
 	q := query()
-	q.Tried = []Life{{ID: "a", Born: 10}}
+	q.Tried = []Instance{{ID: "a", Born: 10}}
 	if _, ok := f.Choose(q, start); ok {
 		t.Error("a target was chosen that was tried")
 	}
@@ -189,13 +189,13 @@
 // reads them must send them, and none may fetch from the dead one's new life.
 func TestWhatAFormerLifeWasToSendIsSentAgain(t *testing.T) {
 	f := named(New("z"), bornAt(runner("a", 1), 10), runner("b", 1))
-	f.SetStores([]KeptStore{{Address: "s:1", Capacity: 1e6, Zone: "z"}})
+	f.SetStores([]KVCacheStore{{Address: "s:1", Capacity: 1e6, Zone: "z"}})
 	q := query()
-	q.Tried = []Life{{ID: "b"}}
+	q.Tried = []Instance{{ID: "b"}}
 	c, _ := f.Choose(q, start)
-	f.Begin(c.Runner.Life(), Stay{Chain: c.Chain, Capacity: 1e6}, start)
+	f.Begin(c.Target.Instance(), RequestLoad{Chain: c.Chain, Capacity: 1e6}, start)
 	f.Put(bornAt(runner("a", 1), 20))
-	q.Tried = []Life{{ID: "a"}}
+	q.Tried = []Instance{{ID: "a"}}
 	if c, _ := f.Choose(q, start); c.SaveTo != "s:1" || c.Source == "a:1" {
 		t.Errorf("saved to %q and fetched from %q", c.SaveTo, c.Source)
 	}
@@ -204,7 +204,7 @@
 // answers is a runner whose life and events are as told.
 type answers struct{ events CacheEvents }
 
-func (a *answers) CacheEvents(context.Context, Reading) (CacheEvents, error) {
+func (a *answers) CacheEvents(context.Context, CacheEventRequest) (CacheEvents, error) {
 	return a.events, nil
 }
 
@@ -219,7 +219,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := named(New("z"), bornAt(runner("a", 1), 10))
 			reader := &answers{CacheEvents{Born: test.born, Boot: 7, Next: 30, Events: []CacheEvent{{Stored: true, Part: "p", Tokens: 900}}}}
-			NewEventWatch(f, reader).read(t.Context(), f.dueForEvents()[0])
+			NewCacheWatcher(f, reader).read(t.Context(), f.dueForEvents()[0])
 			if c := &f.states["a"].cache; c.next != test.next || c.cached.Len() > 0 != (test.next > 0) || c.reading {
 				t.Errorf("the cache is read up to %d and holds %d parts, reading %v", c.next, c.cached.Len(), c.reading)
 			}
--- a/fleet/light.go
+++ b/fleet/light.go
@@ -10,9 +10,9 @@
 	"acaciakeel/prefix"
 )
 
-// LightReading is the part of its objective up to which reading its whole prompt
+// LightPrefillShare is the part of its objective up to which reading its whole prompt
 // makes a request light: ten of them together still begin in time.
-const LightReading = 0.1
+const LightPrefillShare = 0.1
 
 // lightBusy is the part of their time for which runners kept for light requests
 // read: a light request then seldom waits for others, none of which takes long.
@@ -21,8 +21,8 @@
 // light reports whether a request takes little to read, however little of it is
 // cached.
 func (f *Fleet) light(q Query, now time.Time) bool {
-	whole := f.engine(q.Service).PrefillTime(q.Input, q.Input, now)
-	return q.Objective > 0 && whole.Seconds() < LightReading*q.Objective.Seconds()
+	whole := f.engine(q.Service).PrefillTime(q.InputTokens, q.InputTokens, now)
+	return q.Objective > 0 && whole.Seconds() < LightPrefillShare*q.Objective.Seconds()
 }
 
 // keptLight returns which of the runners at indices are kept for light requests,
--- a/fleet/light_test.go
+++ b/fleet/light_test.go
@@ -10,7 +10,7 @@
 // light is a request that shares nothing: 300 tokens, due in half a second.
 func light(i int) Query {
 	q := query()
-	q.Input, q.Output, q.Objective = 300, 100, 500*time.Millisecond
+	q.InputTokens, q.MaxOutputTokens, q.Objective = 300, 100, 500*time.Millisecond
 	q.Chain = func(int64) prefix.Chain {
 		own := prefix.Boundary{Hash: uint64(i+1) << 40, Tokens: 300}
 		return prefix.Chain{Tokens: 300, Levels: []prefix.Boundary{own}, Boundaries: []prefix.Boundary{own}}
@@ -21,7 +21,7 @@
 // heavy is one of 9,000 tokens, due in a second.
 func heavy(i int) Query {
 	q := query()
-	q.Input, q.Output, q.Objective = 9000, 100, time.Second
+	q.InputTokens, q.MaxOutputTokens, q.Objective = 9000, 100, time.Second
 	q.Chain = distinctChain(i)
 	return q
 }
@@ -48,7 +48,7 @@
 		}
 		c, _ := f.Choose(q, now)
 		if i > 200 {
-			used[i%6 == 0][c.Runner.ID] = true
+			used[i%6 == 0][c.Target.ID] = true
 		}
 		now = now.Add(10 * time.Millisecond)
 	}
@@ -82,14 +82,14 @@
 	var all []Occupancy
 	for i, s := range g.states {
 		if !kept[int32(i)] {
-			all = append(all, Occupancy{Target: s.runner.Life(), Inflight: 1, Prefill: 300000})
+			all = append(all, Occupancy{Target: s.runner.Instance(), Inflight: 1, PrefillTokens: 300000})
 		}
 	}
-	f.HeardLoad("other", all, now)
+	f.MergeOccupancy("other", all, now)
 	c, _ := f.Choose(q, now)
 	for i, s := range g.states {
-		if s.runner.ID == c.Runner.ID && !kept[int32(i)] {
-			t.Errorf("a long prompt waits for seconds at %s beside idle runners", c.Runner.ID)
+		if s.runner.ID == c.Target.ID && !kept[int32(i)] {
+			t.Errorf("a long prompt waits for seconds at %s beside idle runners", c.Target.ID)
 		}
 	}
 }
--- a/fleet/limit.go
+++ b/fleet/limit.go
@@ -11,18 +11,18 @@
 // Limit is how many requests a second a target takes from all processes together; the
 // zero Limit is none.
 type Limit struct {
-	Named bool
-	Rate  float64
+	Declared bool
+	Rate     float64
 }
 
 // LimitChange is a limit that a target named, changed or no longer names.
 type LimitChange struct {
-	Target      Life
-	Now, Former Limit
+	Target   Instance
+	New, Old Limit
 }
 
-// ToldLimit is a target's word on its limit as one process tells it to others.
-type ToldLimit struct {
+// LimitUpdate is a target's word on its limit as one process tells it to others.
+type LimitUpdate struct {
 	Limit
 	// Age is for how long the process has known it.
 	Age time.Duration
@@ -52,32 +52,32 @@
 // oneRequest is what a request counts against its target's limit.
 var oneRequest = quota.Size{Tokens: requestUnits, Known: true}
 
-// TargetBounds are what targets that name limits put up with beyond these: half as much
+// LimitTolerance are what targets that name limits put up with beyond these: half as much
 // again in four seconds, and five requests.
-var TargetBounds = quota.Tolerance{Window: 4 * time.Second, Overrun: 0.5, Slack: 5 * requestUnits}
+var LimitTolerance = quota.Tolerance{Window: 4 * time.Second, Overrun: 0.5, Slack: 5 * requestUnits}
 
-// KeepLimits has the limits that targets name be kept by b, before the view is used.
+// EnforceLimits has the limits that targets name be kept by b, before the view is used.
 // What is random in it is drawn from r.
-func (f *Fleet) KeepLimits(b *quota.Limiter, r *rand.Rand) {
+func (f *Fleet) EnforceLimits(b *quota.Limiter, r *rand.Rand) {
 	b.Stagger(requestUnits, r)
 	f.rates = b
 }
 
 // setLimit puts a target's word on its limit into force.
 func (f *Fleet) setLimit(s *state, l Limit, at time.Time) (c LimitChange, changed bool) {
-	c = LimitChange{Target: s.runner.Life(), Now: l, Former: s.limit.Limit}
+	c = LimitChange{Target: s.runner.Instance(), New: l, Old: s.limit.Limit}
 	s.limit.Limit, s.limit.at = l, at
-	f.relimit = f.relimit || c.Now != c.Former
-	return c, c.Now != c.Former
+	f.relimit = f.relimit || c.New != c.Old
+	return c, c.New != c.Old
 }
 
 // heardLimit takes what another process was told by a target; the newer word holds.
-func (f *Fleet) heardLimit(s *state, told *ToldLimit, now time.Time) (c LimitChange, changed bool) {
+func (f *Fleet) heardLimit(s *state, told *LimitUpdate, now time.Time) (c LimitChange, changed bool) {
 	if told == nil {
 		return LimitChange{}, false
 	}
 	at := now.Add(-told.Age)
-	if !at.After(s.limit.at) || !told.Named && !s.limit.Named {
+	if !at.After(s.limit.at) || !told.Declared && !s.limit.Declared {
 		return LimitChange{}, false
 	}
 	return f.setLimit(s, told.Limit, at)
@@ -85,11 +85,11 @@
 
 // toldLimit returns what the target lately said to this process. Were it to pass on what
 // it heard of others, a word would go round for good.
-func (s *state) toldLimit(now time.Time) *ToldLimit {
+func (s *state) toldLimit(now time.Time) *LimitUpdate {
 	if s.limit.metAt.IsZero() || s.limit.metAt.Before(s.limit.at) || now.Sub(s.limit.metAt) >= newsFor {
 		return nil
 	}
-	return &ToldLimit{Limit: s.limit.Limit, Age: now.Sub(s.limit.at)}
+	return &LimitUpdate{Limit: s.limit.Limit, Age: now.Sub(s.limit.at)}
 }
 
 // keepsLimit reports whether there is a limit to be kept to at a target.
@@ -98,13 +98,13 @@
 		f.relimit = false
 		f.rates.SetLimits(f.namedLimits(), now)
 	}
-	return s.limit.Named && f.rates != nil && !f.off[policy.TargetLimits]
+	return s.limit.Declared && f.rates != nil && !f.off[policy.TargetLimits]
 }
 
 func (f *Fleet) namedLimits() map[string]quota.Limit {
 	out := map[string]quota.Limit{}
 	for id, s := range f.states {
-		if s.limit.Named {
+		if s.limit.Declared {
 			rate := max(s.limit.Rate, leastLimit)
 			out[id] = quota.Limit{Rate: rate * requestUnits, Burst: max(rate/limitBurstParts, limitBurst) * requestUnits, Unit: quota.Tokens}
 		}
@@ -131,7 +131,7 @@
 }
 
 // Limit returns the limit that a target names.
-func (f *Fleet) Limit(l Life) Limit {
+func (f *Fleet) Limit(l Instance) Limit {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.about(l); s != nil {
@@ -140,23 +140,23 @@
 	return Limit{}
 }
 
-// LimitUse is what this process sent to a target with a limit.
-type LimitUse struct {
-	Target Life
+// LimitUsage is what this process sent to a target with a limit.
+type LimitUsage struct {
+	Target Instance
 	// Rate is the limit, in requests a second.
 	Rate float64
-	// Requests are clients', Readings questions after cache events.
-	Requests, Readings int
+	// Requests are clients', CacheReads questions after cache events.
+	Requests, CacheReads int
 }
 
-// LimitUses returns what was sent to targets with limits since it was asked last.
-func (f *Fleet) LimitUses() []LimitUse {
+// TakeLimitUsage returns what was sent to targets with limits since it was asked last.
+func (f *Fleet) TakeLimitUsage() []LimitUsage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []LimitUse
+	var out []LimitUsage
 	for _, s := range f.states {
-		if s.limit.Named {
-			out = append(out, LimitUse{Target: s.runner.Life(), Rate: s.limit.Rate, Requests: s.limit.requests, Readings: s.limit.readings})
+		if s.limit.Declared {
+			out = append(out, LimitUsage{Target: s.runner.Instance(), Rate: s.limit.Rate, Requests: s.limit.requests, CacheReads: s.limit.readings})
 		}
 		s.limit.requests, s.limit.readings = 0, 0
 	}
--- a/fleet/limit_model_test.go
+++ b/fleet/limit_model_test.go
@@ -53,19 +53,19 @@
 		m.targets = append(m.targets, fmt.Sprintf("t%d", i))
 	}
 	for range n {
-		h := &limitHost{fleet: New("z1"), book: quota.NewLimiter(TargetBounds, nil, func() bool { return true }, noon.Add(-time.Minute)), told: map[string]time.Duration{}}
+		h := &limitHost{fleet: New("z1"), book: quota.NewLimiter(LimitTolerance, nil, func() bool { return true }, t0.Add(-time.Minute)), told: map[string]time.Duration{}}
 		h.next = time.Duration(m.rand.Int64N(int64(pulse)))
 		h.book.SetMembers(n)
-		h.fleet.KeepLimits(h.book, m.rand)
+		h.fleet.EnforceLimits(h.book, m.rand)
 		for _, id := range m.targets {
-			h.fleet.Put(Runner{ID: id, Born: 1, Service: "desk", Address: id + ":1", Zone: "z1", Slots: 64})
+			h.fleet.Put(Target{ID: id, Born: 1, Service: "desk", Address: id + ":1", Zone: "z1", Slots: 64})
 		}
 		m.hosts = append(m.hosts, h)
 	}
 	return m
 }
 
-func (m *limitModel) at() time.Time { return noon.Add(m.now) }
+func (m *limitModel) at() time.Time { return t0.Add(m.now) }
 
 // post has something happen after a while.
 func (m *limitModel) post(after time.Duration, do func()) {
@@ -95,12 +95,12 @@
 
 // tell has the others hear what a process met and sent.
 func (m *limitModel) tell(i int, h *limitHost) {
-	findings, words := h.fleet.Findings(m.at()), h.book.PeerUpdate(m.at())
+	findings, words := h.fleet.TargetUpdates(m.at()), h.book.PeerUpdate(m.at())
 	words.Sender = fmt.Sprint(i)
 	for _, to := range m.hosts {
 		if to != h {
 			m.post(m.late/2+time.Duration(m.rand.Int64N(int64(m.late))), func() {
-				to.fleet.HeardFindings(findings, m.at())
+				to.fleet.MergeTargetUpdates(findings, m.at())
 				to.book.ApplyPeerUpdate(words, m.at())
 			})
 		}
@@ -111,25 +111,25 @@
 func (m *limitModel) request(h *limitHost) {
 	c, ok := h.fleet.Choose(Query{Service: "desk"}, m.at())
 	if !ok {
-		h.fleet.HeldBack(Query{Service: "desk"}, m.at())
+		h.fleet.RetryAfter(Query{Service: "desk"}, m.at())
 		return
 	}
-	id, sent := c.Runner.ID, m.at()
+	id, sent := c.Target.ID, m.at()
 	m.arrived[id] = append(m.arrived[id], m.now)
 	if h.bound(id, m.now) {
 		m.bound[id] = append(m.bound[id], m.now)
 	}
-	ticket := h.fleet.Begin(c.Runner.Life(), Stay{}, sent)
+	ticket := h.fleet.Begin(c.Target.Instance(), RequestLoad{}, sent)
 	m.post(50*time.Millisecond+time.Duration(m.rand.Int64N(int64(200*time.Millisecond))), func() {
 		ticket.End()
 		n := Notice{}
 		if rate, limited := m.limits[id]; limited {
-			n.Limit = Limit{Named: true, Rate: rate}
+			n.Limit = Limit{Declared: true, Rate: rate}
 			if _, told := h.told[id]; !told {
 				h.told[id] = m.now
 			}
 		}
-		h.fleet.Noticed(c.Runner.Life(), n, sent, m.at())
+		h.fleet.Receive(c.Target.Instance(), n, sent, m.at())
 	})
 }
 
@@ -138,14 +138,14 @@
 func (m *limitModel) most(id string, from time.Duration) float64 {
 	most, first, all := 0, 0, m.bound[id]
 	for i, at := range all {
-		for at-all[first] > TargetBounds.Window {
+		for at-all[first] > LimitTolerance.Window {
 			first++
 		}
 		if at >= from {
 			most = max(most, i-first+1)
 		}
 	}
-	return float64(most) / (1.5*m.limits[id]*TargetBounds.Window.Seconds() + 5)
+	return float64(most) / (1.5*m.limits[id]*LimitTolerance.Window.Seconds() + 5)
 }
 
 // Guards against targets that get more than they put up with, or less than they take.
@@ -176,7 +176,7 @@
 			got += len(m.arrived[id]) - before[id]
 		}
 		used := float64(got) / (float64(tenths*limited) / 10 * length.Seconds())
-		if most > 1 || limited == targets && (used < 0.8 || used > 1+TargetBounds.Overrun) {
+		if most > 1 || limited == targets && (used < 0.8 || used > 1+LimitTolerance.Overrun) {
 			t.Errorf("%s: most %.2f of what is put up with, used %.2f of the limits", d.CmdArgs, most, used)
 		}
 		// Which process is asked first is left to chance, so that figures vary a little.
--- a/fleet/naming.go
+++ b/fleet/naming.go
@@ -60,9 +60,9 @@
 	return true
 }
 
-// Name notes that a version of a model's weights has been wanted since a time, guessed
+// RecordDesired notes that a version of a model's weights has been wanted since a time, guessed
 // where nothing tells since when, and reports whether it is news. Versions never go back.
-func (f *Fleet) Name(model string, version int64, at time.Time, guessed bool) bool {
+func (f *Fleet) RecordDesired(model string, version int64, at time.Time, guessed bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h := f.named[model]
@@ -76,27 +76,27 @@
 	return h.add(naming{version: version, at: at, guessed: guessed})
 }
 
-// Naming is a version of a model's weights and for how long it has been wanted.
-type Naming struct {
+// DesiredVersion is a version of a model's weights and for how long it has been wanted.
+type DesiredVersion struct {
 	Model   string
 	Version int64
 	Age     time.Duration
 }
 
-// Namings returns the namings that a process which has just started needs to know how
+// DesiredHistory returns the namings that a process which has just started needs to know how
 // long each version is behind: those within a time, and the last one before. What is
 // guessed is not told.
-func (f *Fleet) Namings(within time.Duration, now time.Time) []Naming {
+func (f *Fleet) DesiredHistory(within time.Duration, now time.Time) []DesiredVersion {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []Naming
+	var out []DesiredVersion
 	for model, h := range f.named {
 		for _, n := range slices.Backward(h.namings) {
 			if n.guessed {
 				break
 			}
 			age := now.Sub(n.at)
-			out = append(out, Naming{Model: model, Version: n.version, Age: age})
+			out = append(out, DesiredVersion{Model: model, Version: n.version, Age: age})
 			if age >= within {
 				break
 			}
@@ -105,13 +105,13 @@
 	return out
 }
 
-// HeardNamings takes what another process knows of namings of which this one can't
+// MergeDesiredHistory takes what another process knows of namings of which this one can't
 // know: those before the newest that it found when it started, and when that was. Late
 // words on what it heard itself change nothing. It returns what was news.
-func (f *Fleet) HeardNamings(all []Naming, now time.Time) []Naming {
+func (f *Fleet) MergeDesiredHistory(all []DesiredVersion, now time.Time) []DesiredVersion {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var news []Naming
+	var news []DesiredVersion
 	for _, n := range all {
 		h := f.named[n.Model]
 		if h.newest() == 0 || n.Version > h.newest() {
@@ -124,8 +124,8 @@
 	return news
 }
 
-// Named returns the newest version named of each model.
-func (f *Fleet) Named() map[string]int64 {
+// DesiredVersions returns the newest version named of each model.
+func (f *Fleet) DesiredVersions() map[string]int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := make(map[string]int64, len(f.named))
@@ -135,15 +135,15 @@
 	return out
 }
 
-// Newest returns the newest version named of a model, 0 where none is.
-func (f *Fleet) Newest(model string) int64 {
+// DesiredVersion returns the newest version named of a model, 0 where none is.
+func (f *Fleet) DesiredVersion(model string) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.named[model].newest()
 }
 
-// BehindFor returns for how long newer weights than version have been wanted.
-func (f *Fleet) BehindFor(model string, version int64, now time.Time) time.Duration {
+// StaleFor returns for how long newer weights than version have been wanted.
+func (f *Fleet) StaleFor(model string, version int64, now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.named[model].behindFor(version, now)
--- a/fleet/occupancy.go
+++ b/fleet/occupancy.go
@@ -12,35 +12,35 @@
 
 // Occupancy is one process's part of a target's load.
 type Occupancy struct {
-	Target Life
+	Target Instance
 	// Inflight counts requests, Long those of them that take seconds, Resumable
 	// those that another target could go on with.
 	Inflight  int
 	Long      int
 	Resumable int
-	// Prefill is the prompt tokens that are still to be read.
-	Prefill int
-	// Held is the tokens of memory that they hold.
-	Held int
+	// PrefillTokens is the prompt tokens that are still to be read.
+	PrefillTokens int
+	// HeldTokens is the tokens of memory that they hold.
+	HeldTokens int
 }
 
 // occupancyValid is for how long another process's word about its load counts. It
 // outlasts a few lost messages.
 const occupancyValid = 1500 * time.Millisecond
 
-// Occupied returns this process's part of the load of the most targets that it
+// LocalOccupancy returns this process's part of the load of the most targets that it
 // uses, those with the most to read first.
-func (f *Fleet) Occupied(most int) []Occupancy {
+func (f *Fleet) LocalOccupancy(most int) []Occupancy {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []Occupancy
 	for _, s := range f.states {
 		if s.inflight > 0 {
-			out = append(out, Occupancy{Target: s.runner.Life(), Inflight: s.inflight, Long: s.long, Resumable: s.resumable, Prefill: s.prefill, Held: s.held})
+			out = append(out, Occupancy{Target: s.runner.Instance(), Inflight: s.inflight, Long: s.long, Resumable: s.resumable, PrefillTokens: s.prefill, HeldTokens: s.held})
 		}
 	}
 	slices.SortFunc(out, func(a, b Occupancy) int {
-		return cmp.Or(cmp.Compare(b.Prefill, a.Prefill), cmp.Compare(b.Inflight, a.Inflight), cmp.Compare(a.Target.ID, b.Target.ID))
+		return cmp.Or(cmp.Compare(b.PrefillTokens, a.PrefillTokens), cmp.Compare(b.Inflight, a.Inflight), cmp.Compare(a.Target.ID, b.Target.ID))
 	})
 	return out[:min(most, len(out))]
 }
@@ -52,8 +52,8 @@
 	named []*state
 }
 
-// HeardLoad takes another process's whole part of the load.
-func (f *Fleet) HeardLoad(sender string, all []Occupancy, now time.Time) {
+// MergeOccupancy takes another process's whole part of the load.
+func (f *Fleet) MergeOccupancy(sender string, all []Occupancy, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.news.note(sender, now)
@@ -103,23 +103,23 @@
 	at   time.Time
 }
 
-// GroupLoad returns the load that this process and those of its group have at each
+// GroupOccupancy returns the load that this process and those of its group have at each
 // target, as far as they told, for the other groups.
-func (f *Fleet) GroupLoad(now time.Time) []Occupancy {
+func (f *Fleet) GroupOccupancy(now time.Time) []Occupancy {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []Occupancy
 	for _, s := range f.states {
-		if all := s.groupSum(now); all.Inflight > 0 || all.Prefill > 0 {
+		if all := s.groupSum(now); all.Inflight > 0 || all.PrefillTokens > 0 {
 			out = append(out, all)
 		}
 	}
 	return out
 }
 
-// HeardGroupLoad takes what another group's processes have together at some
+// MergeGroupOccupancy takes what another group's processes have together at some
 // targets; what it said of the others before stays until it is old.
-func (f *Fleet) HeardGroupLoad(group int, all []Occupancy, now time.Time) {
+func (f *Fleet) MergeGroupOccupancy(group int, all []Occupancy, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.groupNews.note(strconv.Itoa(group), now)
@@ -146,7 +146,7 @@
 
 // groupSum returns the part of a target's load that is this process's group's.
 func (s *state) groupSum(now time.Time) Occupancy {
-	total := Occupancy{Target: s.runner.Life(), Inflight: s.inflight, Long: s.long, Resumable: s.resumable, Prefill: s.prefill, Held: s.held}
+	total := Occupancy{Target: s.runner.Instance(), Inflight: s.inflight, Long: s.long, Resumable: s.resumable, PrefillTokens: s.prefill, HeldTokens: s.held}
 	for _, o := range s.others {
 		total.add(o, now)
 	}
@@ -161,14 +161,14 @@
 	o.Inflight += t.load.Inflight
 	o.Long += t.load.Long
 	o.Resumable += t.load.Resumable
-	o.Prefill += t.load.Prefill
-	o.Held += t.load.Held
+	o.PrefillTokens += t.load.PrefillTokens
+	o.HeldTokens += t.load.HeldTokens
 }
 
-// HeldTokens returns how many tokens of a target's memory a run holds that it is taken to
+// EstimateHeldTokens returns how many tokens of a target's memory a run holds that it is taken to
 // have cached some of its prompt for: of what was cached about half is held by other runs
 // at the same time, and a run is on average half through its output.
-func HeldTokens(input, cached, output int) int {
+func EstimateHeldTokens(input, cached, output int) int {
 	return input - cached/2 + output/2
 }
 
@@ -176,11 +176,11 @@
 // target with a load until there is memory for it: what is held is given back evenly over
 // the time that runs hold theirs.
 func (f *Fleet) memoryWait(q Query, load Occupancy, needs int, now time.Time) time.Duration {
-	over := load.Held + needs - q.Capacity
-	if q.Capacity <= 0 || over <= 0 || load.Held <= 0 || f.off[policy.MemoryBackpressure] {
+	over := load.HeldTokens + needs - q.Capacity
+	if q.Capacity <= 0 || over <= 0 || load.HeldTokens <= 0 || f.off[policy.MemoryBackpressure] {
 		return 0
 	}
-	return time.Duration(float64(over) / float64(load.Held) * float64(f.engine(q.Service).MeanMemoryHold()))
+	return time.Duration(float64(over) / float64(load.HeldTokens) * float64(f.engine(q.Service).MeanMemoryHold()))
 }
 
 // memoryShare is the part of a target's memory that long runs may fill where they are
@@ -192,5 +192,5 @@
 	if q.Capacity <= 0 || f.off[policy.MemoryBackpressure] {
 		return math.Inf(1)
 	}
-	return (memoryShare*float64(q.Capacity) - float64(load.Held)) / float64(max(1, HeldTokens(q.Input, 0, q.Output)))
+	return (memoryShare*float64(q.Capacity) - float64(load.HeldTokens)) / float64(max(1, EstimateHeldTokens(q.InputTokens, 0, q.MaxOutputTokens)))
 }
--- a/fleet/occupancy_test.go
+++ b/fleet/occupancy_test.go
@@ -16,7 +16,7 @@
 	f := named(New("z"), runner("a", 1))
 	now := start
 	for i := range 50 {
-		f.HeardLoad(fmt.Sprintf("entry/%d", i), []Occupancy{{Target: Life{ID: "a"}, Inflight: 5, Long: 5, Prefill: 9000}}, now)
+		f.MergeOccupancy(fmt.Sprintf("entry/%d", i), []Occupancy{{Target: Instance{ID: "a"}, Inflight: 5, Long: 5, PrefillTokens: 9000}}, now)
 		now = now.Add(time.Second)
 	}
 	if n := len(f.states["a"].others); n > 2 {
@@ -38,7 +38,7 @@
 		for i := range 20 * heavies {
 			f.Choose(heavy(i), now)
 			if i%4 == 0 {
-				f.HeardLoad("other", nil, start.Add(time.Duration(i/4)*every))
+				f.MergeOccupancy("other", nil, start.Add(time.Duration(i/4)*every))
 			}
 			now = now.Add(time.Second / time.Duration(heavies))
 		}
@@ -73,7 +73,7 @@
 	// steps is for how long it holds its memory.
 	steps  int
 	came   int
-	ticket *Ticket
+	ticket *ActiveRequest
 }
 
 const (
@@ -86,13 +86,13 @@
 
 func newPool(off policy.Disabled) *pool {
 	p := &pool{fleet: New("z"), random: rand.New(rand.NewPCG(5, 5)), held: map[string]int{}, waiting: map[string][]*poolRun{}, ends: map[int][]*poolRun{}}
-	p.fleet.Without(off)
-	p.fleet.Name("m", 1, start.Add(-time.Hour), false)
+	p.fleet.Disable(off)
+	p.fleet.RecordDesired("m", 1, start.Add(-time.Hour), false)
 	for i := range poolRunners {
 		id := fmt.Sprintf("r%d", i)
-		p.fleet.Put(Runner{ID: id, Service: "lm", Address: id + ":1", Zone: "z", Slots: 48, Weights: map[string]int64{"m": 1}})
+		p.fleet.Put(Target{ID: id, Service: "lm", Address: id + ":1", Zone: "z", Slots: 48, Weights: map[string]int64{"m": 1}})
 	}
-	p.fleet.WeightsLoaded("lm", 420*time.Millisecond)
+	p.fleet.RecordWeightLoad("lm", 420*time.Millisecond)
 	return p
 }
 
@@ -103,7 +103,7 @@
 	head := prefix.Boundary{Hash: uint64(p.random.IntN(heads))<<32 + uint64(shared), Tokens: shared}
 	own := prefix.Boundary{Hash: p.random.Uint64(), Tokens: input}
 	q := Query{
-		Service: "lm", Model: "m", Input: input, Output: output, Capacity: poolMemory, Objective: 400 * time.Millisecond, OldWeightsFor: time.Hour, Weights: query().Weights,
+		Service: "lm", Model: "m", InputTokens: input, MaxOutputTokens: output, Capacity: poolMemory, Objective: 400 * time.Millisecond, MaxStaleness: time.Hour, CostWeights: query().CostWeights,
 		Chain: func(int64) prefix.Chain {
 			return prefix.Chain{Tokens: input, Levels: []prefix.Boundary{head}, Boundaries: []prefix.Boundary{head, own}}
 		},
@@ -112,9 +112,9 @@
 	if !ok {
 		return
 	}
-	stay := Stay{Missing: input - c.Cached, Prompt: input, Output: output, Chain: c.Chain, Capacity: poolMemory, Long: c.Long, Held: HeldTokens(input, c.Cached, output)}
-	id := c.Runner.ID
-	r := &poolRun{id: id, tokens: input + output, steps: steps, came: step, ticket: p.fleet.Begin(c.Runner.Life(), stay, p.at(step))}
+	stay := RequestLoad{UncachedTokens: input - c.CachedTokens, PromptTokens: input, MaxOutputTokens: output, Chain: c.Chain, Capacity: poolMemory, Long: c.Long, HeldTokens: EstimateHeldTokens(input, c.CachedTokens, output)}
+	id := c.Target.ID
+	r := &poolRun{id: id, tokens: input + output, steps: steps, came: step, ticket: p.fleet.Begin(c.Target.Instance(), stay, p.at(step))}
 	p.runs++
 	p.waiting[id] = append(p.waiting[id], r)
 	p.admit(id, step)
@@ -128,7 +128,7 @@
 		if step-r.came > poolPatience {
 			p.waited++
 		}
-		r.ticket.First(p.at(step + 1))
+		r.ticket.FirstEvent(p.at(step + 1))
 		p.ends[step+r.steps] = append(p.ends[step+r.steps], r)
 	}
 }
@@ -174,7 +174,7 @@
 		capacity, held, needs int
 		waits                 bool
 	}{{0, 1 << 40, 9000, false}, {72000, 60000, 9000, false}, {72000, 70000, 9000, true}, {72000, 0, 90000, false}} {
-		wait := f.memoryWait(Query{Service: "lm", Capacity: c.capacity}, Occupancy{Held: c.held}, c.needs, start)
+		wait := f.memoryWait(Query{Service: "lm", Capacity: c.capacity}, Occupancy{HeldTokens: c.held}, c.needs, start)
 		if (wait > 0) != c.waits || wait > time.Second {
 			t.Errorf("%+v: %v", c, wait)
 		}
--- a/fleet/readers.go
+++ b/fleet/readers.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Sharers returns how many processes send to the same targets.
-func (f *Fleet) Sharers() int {
+// ProcessCount returns how many processes send to the same targets.
+func (f *Fleet) ProcessCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.members.count()
@@ -91,20 +91,20 @@
 	return before < readersEach
 }
 
-// CacheNews is what a process's readings of one cache brought, told to those
+// CacheUpdate is what a process's readings of one cache brought, told to those
 // that do not read it.
-type CacheNews struct {
+type CacheUpdate struct {
 	Address string
 	// Target is the life that was read; empty for a store.
-	Target Life
+	Target Instance
 	// Boot and Next are those of the last reading.
 	Boot int64
 	Next int64
 	// Stored are the parts that came, Dropped the hashes of those that left.
 	Stored  []Part
-	Dropped []uint64
-	// Silent is set where the last reading got no answer.
-	Silent bool
+	Evicted []uint64
+	// Unresponsive is set where the last reading got no answer.
+	Unresponsive bool
 }
 
 // word is what another process said of whether a cache's owner answers.
@@ -113,26 +113,26 @@
 	until  time.Time
 }
 
-// News returns what this process's readings brought since the last call, to be
+// CacheUpdates returns what this process's readings brought since the last call, to be
 // told to the other processes; nothing where each reads for itself. A cache
 // without changes is named now and then, as a sign that its owner answers.
-func (f *Fleet) News(now time.Time) []CacheNews {
+func (f *Fleet) CacheUpdates(now time.Time) []CacheUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.members.split() {
 		return nil
 	}
-	var out []CacheNews
+	var out []CacheUpdate
 	for _, s := range f.states {
-		out = f.newsOf(out, &s.cache, CacheNews{Address: s.runner.Address, Target: s.runner.Life()}, now)
+		out = f.newsOf(out, &s.cache, CacheUpdate{Address: s.runner.Address, Target: s.runner.Instance()}, now)
 	}
 	for address, k := range f.stores {
-		out = f.newsOf(out, &k.cache, CacheNews{Address: address}, now)
+		out = f.newsOf(out, &k.cache, CacheUpdate{Address: address}, now)
 	}
 	return out
 }
 
-func (f *Fleet) newsOf(out []CacheNews, c *cache, news CacheNews, now time.Time) []CacheNews {
+func (f *Fleet) newsOf(out []CacheUpdate, c *cache, news CacheUpdate, now time.Time) []CacheUpdate {
 	if !f.members.reads(news.Address) || (c.boot == 0 && !c.silent) {
 		c.unspread = nil
 		return out
@@ -141,12 +141,12 @@
 		return out
 	}
 	c.spreadAt, c.spreadSilent = now, c.silent
-	news.Boot, news.Next, news.Silent = c.boot, c.next, c.silent
+	news.Boot, news.Next, news.Unresponsive = c.boot, c.next, c.silent
 	for _, e := range lastOfEach(c.unspread) {
 		if e.stored {
 			news.Stored = append(news.Stored, e.part)
 		} else {
-			news.Dropped = append(news.Dropped, e.part.Hash)
+			news.Evicted = append(news.Evicted, e.part.Hash)
 		}
 	}
 	c.unspread = nil
@@ -167,14 +167,14 @@
 	return out
 }
 
-// HeardCaches takes what another process's readings brought, and returns those that
+// MergeCacheUpdates takes what another process's readings brought, and returns those that
 // said something new: of the two readings of a cache one is enough to relay. Whether
 // a cache's owner answers is said there as judged by the words of all: of two readers
 // one may be cut off itself, and the groups beyond would hear now one and now the other.
-func (f *Fleet) HeardCaches(sender string, all []CacheNews, now time.Time) []CacheNews {
+func (f *Fleet) MergeCacheUpdates(sender string, all []CacheUpdate, now time.Time) []CacheUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var fresh []CacheNews
+	var fresh []CacheUpdate
 	for _, n := range all {
 		c := f.cacheOf(n)
 		if c == nil {
@@ -183,15 +183,15 @@
 		news := c.hear(sender, n, f.members.reads(n.Address), now, wordValid)
 		if news || c.silent != c.relayedSilent || now.Sub(c.relayedAt) >= groupWordEvery {
 			c.relayedAt, c.relayedSilent = now, c.silent
-			n.Silent = c.silent
+			n.Unresponsive = c.silent
 			fresh = append(fresh, n)
 		}
 	}
 	return fresh
 }
 
-// HeardGroupCaches takes what the readings of another group's processes brought.
-func (f *Fleet) HeardGroupCaches(group int, all []CacheNews, now time.Time) {
+// MergeGroupCacheUpdates takes what the readings of another group's processes brought.
+func (f *Fleet) MergeGroupCacheUpdates(group int, all []CacheUpdate, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range all {
@@ -204,7 +204,7 @@
 // cacheOf returns the cache that news is about: that of the life that was read,
 // or of a store. Two targets may be listed with one address, so that alone says
 // which only where the teller named no target.
-func (f *Fleet) cacheOf(n CacheNews) *cache {
+func (f *Fleet) cacheOf(n CacheUpdate) *cache {
 	f.regroup()
 	s := f.addressed[n.Address]
 	if n.Target.ID != "" {
@@ -222,11 +222,11 @@
 // hear takes another process's news of a cache and reports whether it brought
 // changes. Whether its owner answers a process judges itself where it reads the
 // cache too.
-func (c *cache) hear(sender string, n CacheNews, reads bool, now time.Time, valid time.Duration) (news bool) {
+func (c *cache) hear(sender string, n CacheUpdate, reads bool, now time.Time, valid time.Duration) (news bool) {
 	if n.Boot != c.boot || n.Next > c.next {
 		news = true
-		all := make([]change, 0, len(n.Stored)+len(n.Dropped))
-		for _, hash := range n.Dropped {
+		all := make([]change, 0, len(n.Stored)+len(n.Evicted))
+		for _, hash := range n.Evicted {
 			all = append(all, change{part: Part{Hash: hash}})
 		}
 		for _, p := range n.Stored {
@@ -240,7 +240,7 @@
 	if c.words == nil {
 		c.words = map[string]word{}
 	}
-	c.words[sender] = word{silent: n.Silent, until: now.Add(valid)}
+	c.words[sender] = word{silent: n.Unresponsive, until: now.Add(valid)}
 	c.silent = allSilent(c.words, now)
 	return news
 }
--- a/fleet/readers_test.go
+++ b/fleet/readers_test.go
@@ -54,7 +54,7 @@
 		t.Errorf("%d readings, want both", n)
 	}
 	f.took(&f.states["a"].cache, CacheEvents{Boot: 1, Next: 2}, true, start)
-	if news := f.News(start); len(news) != 0 {
+	if news := f.CacheUpdates(start); len(news) != 0 {
 		t.Errorf("news %+v though all read", news)
 	}
 }
@@ -89,8 +89,8 @@
 	}
 	events := CacheEvents{Boot: 7, Next: 4, Events: []CacheEvent{stored("x", true), stored("y", true), stored("x", false)}}
 	reader.took(&reader.states["a"].cache, events, true, start)
-	news := reader.News(start)
-	other.HeardCaches("reader", news, start)
+	news := reader.CacheUpdates(start)
+	other.MergeCacheUpdates("reader", news, start)
 	hash := func(part string) uint64 { return changes([]CacheEvent{stored(part, true)})[0].part.Hash }
 	c := &other.states["a"].cache
 	if c.cached.Has(hash("x")) || !c.cached.Has(hash("y")) {
@@ -100,8 +100,8 @@
 		t.Errorf("stands at %d of start %d", c.next, c.boot)
 	}
 	// The same again, late, after y has gone, changes nothing.
-	other.HeardCaches("second", []CacheNews{{Address: "a:1", Boot: 7, Next: 6, Dropped: []uint64{hash("y")}}}, start)
-	other.HeardCaches("reader", news, start)
+	other.MergeCacheUpdates("second", []CacheUpdate{{Address: "a:1", Boot: 7, Next: 6, Evicted: []uint64{hash("y")}}}, start)
+	other.MergeCacheUpdates("reader", news, start)
 	if c.cached.Has(hash("y")) {
 		t.Error("late news undid newer news")
 	}
@@ -113,12 +113,12 @@
 func TestSilenceIsTold(t *testing.T) {
 	reader, other := pair(t)
 	reader.took(&reader.states["a"].cache, CacheEvents{}, false, start)
-	other.HeardCaches("one", reader.News(start), start)
-	if !other.Silent("a") {
+	other.MergeCacheUpdates("one", reader.CacheUpdates(start), start)
+	if !other.Unresponsive("a") {
 		t.Fatal("the others did not hear that a is silent")
 	}
-	other.HeardCaches("two", []CacheNews{{Address: "a:1", Boot: 1, Next: 1}}, start)
-	if other.Silent("a") {
+	other.MergeCacheUpdates("two", []CacheUpdate{{Address: "a:1", Boot: 1, Next: 1}}, start)
+	if other.Unresponsive("a") {
 		t.Error("a is left out though a second entry reaches it")
 	}
 }
@@ -137,10 +137,10 @@
 		if i%2 == 1 {
 			from, silent = "reader", false
 		}
-		word := []CacheNews{{Address: "a:1", Target: Life{ID: "a"}, Boot: 1, Next: int64(i + 1), Silent: silent}}
-		fresh := teller.HeardCaches(from, word, now)
-		far.HeardGroupCaches(0, fresh, now)
-		if i > 1 && far.Silent("a") {
+		word := []CacheUpdate{{Address: "a:1", Target: Instance{ID: "a"}, Boot: 1, Next: int64(i + 1), Unresponsive: silent}}
+		fresh := teller.MergeCacheUpdates(from, word, now)
+		far.MergeGroupCacheUpdates(0, fresh, now)
+		if i > 1 && far.Unresponsive("a") {
 			t.Fatalf("after word %d, of one who is cut off, the runner counts as silent in another group", i)
 		}
 		now = now.Add(100 * time.Millisecond)
--- a/fleet/rest.go
+++ b/fleet/rest.go
@@ -18,9 +18,9 @@
 	proving bool
 }
 
-// Rests takes for how long a target wants nothing more of this process, and reports
+// RecordBackoff takes for how long a target wants nothing more of this process, and reports
 // whether it was not resting before. A shorter rest does not end a longer one.
-func (f *Fleet) Rests(l Life, length time.Duration, now time.Time) bool {
+func (f *Fleet) RecordBackoff(l Instance, length time.Duration, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.about(l)
@@ -36,10 +36,10 @@
 	return news
 }
 
-// Took notes that a target took a request that was sent at asked. One that was sent
+// RecordAccepted notes that a target took a request that was sent at asked. One that was sent
 // before the end of its rest does not end that: it may have crossed the word, and a target
 // that takes some in need still wants no more.
-func (f *Fleet) Took(l Life, asked time.Time) {
+func (f *Fleet) RecordAccepted(l Instance, asked time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.about(l); s != nil && !asked.Before(s.rest.until) {
@@ -60,8 +60,8 @@
 	}
 }
 
-// RestLeft returns for how long a target still wants nothing of this process.
-func (f *Fleet) RestLeft(l Life, now time.Time) time.Duration {
+// RemainingBackoff returns for how long a target still wants nothing of this process.
+func (f *Fleet) RemainingBackoff(l Instance, now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.about(l); s != nil {
@@ -70,22 +70,22 @@
 	return 0
 }
 
-// Wait is when targets that are held back by their own words can take a request.
-type Wait struct {
+// RetryDelay is when targets that are held back by their own words can take a request.
+type RetryDelay struct {
 	For time.Duration
-	// Rest is set where it is a rest that ends last, else a limit.
-	Rest bool
+	// Backoff is set where it is a rest that ends last, else a limit.
+	Backoff bool
 }
 
-// HeldBack returns when the first target can take a request that could but for the rest
+// RetryAfter returns when the first target can take a request that could but for the rest
 // it asked for or the limit it names, and counts the request as one that was told so.
 // ok is false where there is none such.
-func (f *Fleet) HeldBack(q Query, now time.Time) (least Wait, ok bool) {
+func (f *Fleet) RetryAfter(q Query, now time.Time) (least RetryDelay, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	g := f.group(q.Service)
 	if g == nil {
-		return Wait{}, false
+		return RetryDelay{}, false
 	}
 	tried := f.present(q.Tried)
 	var first *state
@@ -98,7 +98,7 @@
 		}
 	}
 	if first == nil {
-		return Wait{}, false
+		return RetryDelay{}, false
 	}
 	if f.keepsLimit(first, now) {
 		f.rates.ReserveRetry(first.runner.ID, oneRequest, now)
@@ -107,11 +107,11 @@
 }
 
 // heldBack returns when a target's own words let it take a request.
-func (f *Fleet) heldBack(s *state, now time.Time) Wait {
-	w := Wait{For: s.rest.left(now), Rest: true}
+func (f *Fleet) heldBack(s *state, now time.Time) RetryDelay {
+	w := RetryDelay{For: s.rest.left(now), Backoff: true}
 	if f.keepsLimit(s, now) {
 		if limit := f.rates.RetryAfter(s.runner.ID, oneRequest, now); limit > w.For {
-			w = Wait{For: limit}
+			w = RetryDelay{For: limit}
 		}
 	}
 	return w
--- a/fleet/runner.go
+++ b/fleet/runner.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Runner is a target as the platform's list shows it.
-type Runner struct {
+// Target is a target as the platform's list shows it.
+type Target struct {
 	// ID is the target's, which may start again under it, and Born the Unix
 	// millisecond of its start; 0 where it does not say.
 	ID      string
@@ -32,31 +32,31 @@
 	Slots   int
 }
 
-// ErrOtherRunner says that another runner has the address of the one that was
+// ErrTargetReplaced says that another runner has the address of the one that was
 // asked: that one has ended, and is to be left out.
-var ErrOtherRunner = errors.New("another runner has the address; the one that was asked has ended and is to be left out")
+var ErrTargetReplaced = errors.New("another runner has the address; the one that was asked has ended and is to be left out")
 
-// Report is a target's state as it was some hundred milliseconds ago.
-type Report struct {
+// Status is a target's state as it was some hundred milliseconds ago.
+type Status struct {
 	// Born is the start of the life that reports.
 	Born    int64
 	Weights map[string]int64
 	// Busy is set while it carries an order out.
 	Busy bool
-	// Orders counts the orders that it accepted since its start.
-	Orders int64
+	// AcceptedOrders counts the orders that it accepted since its start.
+	AcceptedOrders int64
 }
 
 // Order tells a runner to load a version of a model's weights. It is carried
 // out only while the runner has accepted Orders orders, so that one that
 // arrives late, after newer ones, does nothing.
 type Order struct {
-	Runner  Runner
-	Model   string
-	Weights int64
-	Holder  string
-	Fence   int64
-	Orders  int64
+	Target         Target
+	Model          string
+	WeightsVersion int64
+	Holder         string
+	Fence          int64
+	ExpectedOrders int64
 	// Truncate ends the streams of the requests that run there; otherwise they
 	// end first.
 	Truncate bool
@@ -67,12 +67,12 @@
 
 // The results of an order.
 const (
-	OrderAccepted    OrderResult = "accepted"
-	OrderHolds       OrderResult = "holds"
-	OrderConflict    OrderResult = "conflict"
-	OrderFenced      OrderResult = "fenced"
-	OrderMisdirected OrderResult = "misdirected"
-	OrderRefused     OrderResult = "refused"
+	OrderAccepted      OrderResult = "accepted"
+	OrderAlreadyLoaded OrderResult = "holds"
+	OrderConflict      OrderResult = "conflict"
+	OrderFenced        OrderResult = "fenced"
+	OrderMisdirected   OrderResult = "misdirected"
+	OrderRefused       OrderResult = "refused"
 	// OrderLost: no answer; the order may be carried out, also much later.
 	OrderLost OrderResult = "lost"
 )
--- a/fleet/scale_test.go
+++ b/fleet/scale_test.go
@@ -43,17 +43,17 @@
 	}
 	for i := range n {
 		f := New("z" + strconv.Itoa(i%5))
-		f.Name("m", 1, start.Add(-time.Hour), false)
+		f.RecordDesired("m", 1, start.Add(-time.Hour), false)
 		for r := range runners {
 			id := fmt.Sprintf("r%d", r)
-			f.Put(Runner{ID: id, Service: "lm", Address: id + ":1", Zone: "z" + strconv.Itoa(r%5), Slots: scaleSlots, Weights: map[string]int64{"m": 1}})
+			f.Put(Target{ID: id, Service: "lm", Address: id + ":1", Zone: "z" + strconv.Itoa(r%5), Slots: scaleSlots, Weights: map[string]int64{"m": 1}})
 		}
 		var keys []string
 		for _, m := range members {
 			keys = append(keys, m.Key)
 		}
 		f.SetMembers(members[i].Key, keys)
-		f.WeightsLoaded("lm", 450*time.Millisecond)
+		f.RecordWeightLoad("lm", 450*time.Millisecond)
 		e.views = append(e.views, f)
 		plan := peering.New(members[i].Key, members)
 		e.groups = append(e.groups, plan.Group)
@@ -70,7 +70,7 @@
 func draft() Query {
 	part := prefix.Boundary{Hash: rand.Uint64(), Tokens: 200}
 	return Query{
-		Service: "lm", Model: "m", Input: 800, Output: 400, Objective: 400 * time.Millisecond, OldWeightsFor: time.Hour, Weights: query().Weights,
+		Service: "lm", Model: "m", InputTokens: 800, MaxOutputTokens: 400, Objective: 400 * time.Millisecond, MaxStaleness: time.Hour, CostWeights: query().CostWeights,
 		Chain: func(int64) prefix.Chain {
 			return prefix.Chain{Tokens: 800, Levels: []prefix.Boundary{part}, Boundaries: []prefix.Boundary{part, {Hash: rand.Uint64(), Tokens: 800}}}
 		},
@@ -84,18 +84,18 @@
 	if !ok {
 		return
 	}
-	life := c.Runner.Life()
+	life := c.Target.Instance()
 	if e.at[life.ID] >= scaleSlots+scaleQueue {
 		e.rejected++
-		f.Loaded(life, Load{Running: scaleSlots, Waiting: scaleQueue, Slots: scaleSlots}, now)
+		f.RecordLoad(life, Load{Running: scaleSlots, Waiting: scaleQueue, Slots: scaleSlots}, now)
 		return
 	}
 	e.at[life.ID]++
 	e.most = max(e.most, e.at[life.ID])
-	t := f.Begin(life, Stay{Missing: 800, Prompt: 800, Output: 400, Chain: c.Chain, Long: c.Long}, now)
+	t := f.Begin(life, RequestLoad{UncachedTokens: 800, PromptTokens: 800, MaxOutputTokens: 400, Chain: c.Chain, Long: c.Long}, now)
 	end := now.Add(held).Truncate(scaleStep)
 	e.ends[end] = append(e.ends[end], func() {
-		t.First(now.Add(held / 4))
+		t.FirstEvent(now.Add(held / 4))
 		t.Complete(now.Add(held))
 		t.End()
 		e.at[life.ID]--
@@ -108,10 +108,10 @@
 	for i, f := range e.views {
 		pulse := max(5, len(e.peers[i])/2)
 		if (step+i)%pulse == 0 {
-			load, words := f.Occupied(44), f.Words(now)
+			load, words := f.LocalOccupancy(44), f.EngineReports(now)
 			for _, p := range e.peers[i] {
-				e.views[p].HeardLoad(strconv.Itoa(i), load, now)
-				e.views[p].HeardWords(strconv.Itoa(i), words, now)
+				e.views[p].MergeOccupancy(strconv.Itoa(i), load, now)
+				e.views[p].MergeEngineReports(strconv.Itoa(i), words, now)
 			}
 		}
 		digest[e.groups[i]] = i
@@ -120,11 +120,11 @@
 		return
 	}
 	for group, by := range digest {
-		load, words := e.views[by].GroupLoad(now), e.views[by].GroupWords(now)
+		load, words := e.views[by].GroupOccupancy(now), e.views[by].GroupEngineReports(now)
 		for i, f := range e.views {
 			if e.groups[i] != group {
-				f.HeardGroupLoad(group, load, now)
-				f.HeardGroupWords(group, words, now)
+				f.MergeGroupOccupancy(group, load, now)
+				f.MergeGroupEngineReports(group, words, now)
 			}
 		}
 	}
--- a/fleet/share.go
+++ b/fleet/share.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Finding is what one process learnt of a target.
-type Finding struct {
-	Target  Life
+// TargetUpdate is what one process learnt of a target.
+type TargetUpdate struct {
+	Target  Instance
 	Weights map[string]int64
-	// Busy is for how long an order keeps new requests out, as the process itself
+	// BusyFor is for how long an order keeps new requests out, as the process itself
 	// met it. Were it to pass on what it heard, each hop would add its delay, and
 	// the word would go round for good.
-	Busy time.Duration
+	BusyFor time.Duration
 	// Parts are those that the process had read there since it told last.
 	Parts []Part
 	// Limit is what the target lately said of its limit to the process itself; nil where
 	// it said nothing.
-	Limit *ToldLimit
-	// Leaving is set where the target lately said to the process itself that it leaves.
-	Leaving bool
+	Limit *LimitUpdate
+	// ShuttingDown is set where the target lately said to the process itself that it leaves.
+	ShuttingDown bool
 }
 
 // Part is a part of a prompt.
@@ -32,21 +32,21 @@
 // started again, are told; then the platform's list says so too.
 const newsFor = 2 * time.Second
 
-// Findings returns what this process learnt of targets, to be told once: the
+// TargetUpdates returns what this process learnt of targets, to be told once: the
 // parts that it had read there are not returned again.
-func (f *Fleet) Findings(now time.Time) []Finding {
+func (f *Fleet) TargetUpdates(now time.Time) []TargetUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []Finding
+	var out []TargetUpdate
 	for _, s := range f.states {
-		found := Finding{Target: s.runner.Life(), Busy: max(0, s.metBusyUntil.Sub(now))}
+		found := TargetUpdate{Target: s.runner.Instance(), BusyFor: max(0, s.metBusyUntil.Sub(now))}
 		news := now.Sub(s.learnt) < newsFor
 		if s.fresh {
 			s.fresh, s.lifeTold = false, now
 		}
 		reborn := now.Sub(s.lifeTold) < newsFor
-		found.Limit, found.Leaving = s.toldLimit(now), s.tellsLeaving(now)
-		if found.Busy == 0 && !news && !reborn && len(s.untold) == 0 && found.Limit == nil && !found.Leaving {
+		found.Limit, found.ShuttingDown = s.toldLimit(now), s.tellsLeaving(now)
+		if found.BusyFor == 0 && !news && !reborn && len(s.untold) == 0 && found.Limit == nil && !found.ShuttingDown {
 			continue
 		}
 		found.Parts, s.untold = s.untold, nil
@@ -58,15 +58,15 @@
 	return out
 }
 
-// Heard is what news of others changed.
-type Heard struct {
+// MergeResult is what news of others changed.
+type MergeResult struct {
 	Limits []LimitChange
-	// Leaving are the targets that leave.
-	Leaving []Life
+	// ShuttingDown are the targets that leave.
+	ShuttingDown []Instance
 }
 
-// HeardFindings takes what another process learnt.
-func (f *Fleet) HeardFindings(all []Finding, now time.Time) (heard Heard) {
+// MergeTargetUpdates takes what another process learnt.
+func (f *Fleet) MergeTargetUpdates(all []TargetUpdate, now time.Time) (heard MergeResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, found := range all {
@@ -77,7 +77,7 @@
 		for model, version := range found.Weights {
 			s.learn(model, version)
 		}
-		if until := now.Add(found.Busy); found.Busy > 0 && until.After(s.busyUntil) {
+		if until := now.Add(found.BusyFor); found.BusyFor > 0 && until.After(s.busyUntil) {
 			s.busyUntil = until
 		}
 		for _, p := range found.Parts {
@@ -86,8 +86,8 @@
 		if c, changed := f.heardLimit(s, found.Limit, now); changed {
 			heard.Limits = append(heard.Limits, c)
 		}
-		if found.Leaving && f.leaves(s, now) {
-			heard.Leaving = append(heard.Leaving, s.runner.Life())
+		if found.ShuttingDown && f.leaves(s, now) {
+			heard.ShuttingDown = append(heard.ShuttingDown, s.runner.Instance())
 		}
 	}
 	return heard
--- a/fleet/share_test.go
+++ b/fleet/share_test.go
@@ -13,22 +13,22 @@
 func TestGuessedWeightsAreNotTold(t *testing.T) {
 	entry, holder := named(New("z"), runner("r", 1)), named(New("z"), runner("r", 1))
 	for _, f := range []*Fleet{entry, holder} {
-		f.Name("m", 2, start, false)
-		f.Name("m", 3, start, false)
+		f.RecordDesired("m", 2, start, false)
+		f.RecordDesired("m", 3, start, false)
 	}
-	entry.Guess(Life{ID: "r"}, "m")
-	if c, ok := entry.Choose(query(), start); !ok || c.Weights != 3 {
-		t.Errorf("the guess does not steer: weights %d", c.Weights)
+	entry.GuessWeights(Instance{ID: "r"}, "m")
+	if c, ok := entry.Choose(query(), start); !ok || c.WeightsVersion != 3 {
+		t.Errorf("the guess does not steer: weights %d", c.WeightsVersion)
 	}
-	holder.HeardFindings(entry.Findings(start), start)
+	holder.MergeTargetUpdates(entry.TargetUpdates(start), start)
 	for name, f := range map[string]*Fleet{"entry": entry, "holder": holder} {
-		if got := f.Runners("lm")[0].Weights["m"]; got != 1 {
+		if got := f.Targets("lm")[0].Weights["m"]; got != 1 {
 			t.Errorf("%s would order by weights %d, want 1", name, got)
 		}
 	}
-	entry.Learn(Life{ID: "r"}, "m", 2, start)
-	if c, _ := entry.Choose(query(), start); c.Weights != 2 {
-		t.Errorf("weights %d after the runner said 2", c.Weights)
+	entry.RecordWeights(Instance{ID: "r"}, "m", 2, start)
+	if c, _ := entry.Choose(query(), start); c.WeightsVersion != 2 {
+		t.Errorf("weights %d after the runner said 2", c.WeightsVersion)
 	}
 }
 
@@ -38,12 +38,12 @@
 // for seconds after its order, while the others drowned.
 func TestBusyDoesNotEcho(t *testing.T) {
 	a, b := named(New("z"), runner("r", 1)), named(New("z"), runner("r", 1))
-	a.Busy(Life{ID: "r"}, start.Add(700*time.Millisecond))
+	a.RecordBusy(Instance{ID: "r"}, start.Add(700*time.Millisecond))
 	const delay = 30 * time.Millisecond
 	now := start
 	for range 40 {
-		b.HeardFindings(a.Findings(now), now.Add(delay))
-		a.HeardFindings(b.Findings(now.Add(delay)), now.Add(2*delay))
+		b.MergeTargetUpdates(a.TargetUpdates(now), now.Add(delay))
+		a.MergeTargetUpdates(b.TargetUpdates(now.Add(delay)), now.Add(2*delay))
 		now = now.Add(100 * time.Millisecond)
 	}
 	for name, f := range map[string]*Fleet{"who met it": a, "who heard it": b} {
--- a/fleet/store.go
+++ b/fleet/store.go
@@ -27,8 +27,8 @@
 	by string
 }
 
-// KeptStore is a store of kept KV cache.
-type KeptStore struct {
+// KVCacheStore is a store of kept KV cache.
+type KVCacheStore struct {
 	Address string
 	// Capacity is its room in tokens.
 	Capacity int
@@ -37,7 +37,7 @@
 }
 
 // SetStores says which stores of kept KV cache there are.
-func (f *Fleet) SetStores(stores []KeptStore) {
+func (f *Fleet) SetStores(stores []KVCacheStore) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	next := map[string]*keptStore{}
@@ -110,8 +110,8 @@
 	return out
 }
 
-// HeardSaves takes what another process had sent to stores.
-func (f *Fleet) HeardSaves(all []Saves, now time.Time) {
+// MergeSaves takes what another process had sent to stores.
+func (f *Fleet) MergeSaves(all []Saves, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range all {
--- a/fleet/ticket.go
+++ b/fleet/ticket.go
@@ -9,12 +9,12 @@
 	"acaciakeel/quota"
 )
 
-// Ticket is one request's stay at one life of a target. It counts on that life
+// ActiveRequest is one request's stay at one life of a target. It counts on that life
 // alone, also once another one has begun.
-type Ticket struct {
+type ActiveRequest struct {
 	fleet   *Fleet
 	state   *state
-	stay    Stay
+	stay    RequestLoad
 	prefill int
 	// ahead is how many tokens were to be read there before.
 	ahead   int
@@ -25,54 +25,54 @@
 	charge *quota.Charge
 }
 
-// Stay is what a request brings to its target.
-type Stay struct {
-	// Missing is how many prompt tokens must be read, Prompt how many there are.
-	Missing int
-	Prompt  int
-	// Moved is what a source is to send there first.
-	Moved forecast.KVTransfer
-	// Output is the most tokens that may be generated.
-	Output int
-	Chain  prefix.Chain
+// RequestLoad is what a request brings to its target.
+type RequestLoad struct {
+	// UncachedTokens is how many prompt tokens must be read, Prompt how many there are.
+	UncachedTokens int
+	PromptTokens   int
+	// Transfer is what a source is to send there first.
+	Transfer forecast.KVTransfer
+	// MaxOutputTokens is the most tokens that may be generated.
+	MaxOutputTokens int
+	Chain           prefix.Chain
 	// Capacity is the target's memory for cached parts, in tokens.
 	Capacity int
 	// Long requests hold a slot for seconds.
 	Long bool
-	// Held is the tokens of memory that the run holds there.
-	Held int
+	// HeldTokens is the tokens of memory that the run holds there.
+	HeldTokens int
 	// Resumable requests may go on at another target if this one ends them.
 	Resumable bool
 }
 
 // Begin counts a request in. The parts of its chain are taken for cached from
 // now on.
-func (f *Fleet) Begin(l Life, stay Stay, now time.Time) *Ticket {
+func (f *Fleet) Begin(l Instance, stay RequestLoad, now time.Time) *ActiveRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.about(l)
 	if s == nil {
-		return &Ticket{fleet: f}
+		return &ActiveRequest{fleet: f}
 	}
-	t := &Ticket{fleet: f, state: s, stay: stay, prefill: stay.Missing, ahead: s.sum(now).Prefill, began: now}
+	t := &ActiveRequest{fleet: f, state: s, stay: stay, prefill: stay.UncachedTokens, ahead: s.sum(now).PrefillTokens, began: now}
 	s.inflight++
 	t.charge = f.takeLimit(s, now)
 	s.rest.sent(now)
-	s.prefill += stay.Missing
+	s.prefill += stay.UncachedTokens
 	if stay.Long {
 		s.long++
 	}
 	if stay.Resumable {
 		s.resumable++
 	}
-	s.held += stay.Held
+	s.held += stay.HeldTokens
 	s.capacity = stay.Capacity
 	s.untold = append(s.untold, s.useAll(stay.Chain)...)
 	return t
 }
 
-// First notes the first event: the prompt has been read.
-func (t *Ticket) First(now time.Time) {
+// FirstEvent notes the first event: the prompt has been read.
+func (t *ActiveRequest) FirstEvent(now time.Time) {
 	t.fleet.mu.Lock()
 	defer t.fleet.mu.Unlock()
 	if t.state == nil || !t.firstAt.IsZero() {
@@ -80,27 +80,27 @@
 	}
 	t.firstAt = now
 	t.read()
-	if t.stay.Prompt > 0 && !t.fleet.off[policy.Learning] {
-		reading := forecast.PrefillSample{UncachedTokens: t.stay.Missing, PromptTokens: t.stay.Prompt, QueuedTokens: t.ahead, Transferred: t.stay.Moved, TimeToFirstToken: now.Sub(t.began)}
+	if t.stay.PromptTokens > 0 && !t.fleet.off[policy.Learning] {
+		reading := forecast.PrefillSample{UncachedTokens: t.stay.UncachedTokens, PromptTokens: t.stay.PromptTokens, QueuedTokens: t.ahead, Transferred: t.stay.Transfer, TimeToFirstToken: now.Sub(t.began)}
 		t.fleet.engine(t.state.runner.Service).ObservePrefill(reading, now)
 	}
 }
 
-// Unsent notes that nothing of the request reached its target.
-func (t *Ticket) Unsent() { t.charge.SetExecutions(0) }
+// NotSent notes that nothing of the request reached its target.
+func (t *ActiveRequest) NotSent() { t.charge.SetExecutions(0) }
 
 // Complete notes that the answer ended whole.
-func (t *Ticket) Complete(now time.Time) {
+func (t *ActiveRequest) Complete(now time.Time) {
 	t.fleet.mu.Lock()
 	defer t.fleet.mu.Unlock()
 	if t.state != nil && !t.firstAt.IsZero() {
 		e := t.fleet.engine(t.state.runner.Service)
-		e.ObserveRun(t.stay.Output, now.Sub(t.firstAt), now)
-		e.ObserveMemoryHold(t.stay.Held, now.Sub(t.began), now)
+		e.ObserveRun(t.stay.MaxOutputTokens, now.Sub(t.firstAt), now)
+		e.ObserveMemoryHold(t.stay.HeldTokens, now.Sub(t.began), now)
 	}
 }
 
-func (t *Ticket) read() {
+func (t *ActiveRequest) read() {
 	if t.state != nil {
 		t.state.prefill -= t.prefill
 	}
@@ -108,7 +108,7 @@
 }
 
 // End counts the request out.
-func (t *Ticket) End() {
+func (t *ActiveRequest) End() {
 	t.fleet.mu.Lock()
 	defer t.fleet.mu.Unlock()
 	if t.done || t.state == nil {
@@ -123,5 +123,5 @@
 	if t.stay.Resumable {
 		t.state.resumable--
 	}
-	t.state.held -= t.stay.Held
+	t.state.held -= t.stay.HeldTokens
 }
--- a/node/digest.go
+++ b/node/digest.go
@@ -26,7 +26,7 @@
 	// waiting is the group's news for each other group that this node may relay to.
 	waiting map[int]*pulses.Update
 	// told are the targets whose load was told last, by group; toldAt is when.
-	told   map[int]map[fleet.Life]bool
+	told   map[int]map[fleet.Instance]bool
 	toldAt map[int]time.Time
 	// owed is how many bytes beyond its share the last digest to a group took.
 	owed map[int]int
@@ -142,7 +142,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.toldAt == nil {
-		d.toldAt, d.told, d.owed = map[int]time.Time{}, map[int]map[fleet.Life]bool{}, map[int]int{}
+		d.toldAt, d.told, d.owed = map[int]time.Time{}, map[int]map[fleet.Instance]bool{}, map[int]int{}
 	}
 	var out []link
 	for _, l := range plan.Links {
@@ -171,7 +171,7 @@
 	all := *d.waiting[l.group]
 	*d.waiting[l.group] = pulses.Update{}
 	all.Loads = loads
-	now := map[fleet.Life]bool{}
+	now := map[fleet.Instance]bool{}
 	for _, o := range loads {
 		now[o.Target] = true
 	}
@@ -191,8 +191,8 @@
 // groupNews returns what the node's group tells another one.
 func (p *pulse) groupNews(l link) pulses.Update {
 	now := time.Now()
-	all := p.digest.take(l, p.fleet.GroupLoad(now))
-	all.Engines = p.fleet.GroupWords(now)
+	all := p.digest.take(l, p.fleet.GroupOccupancy(now))
+	all.Engines = p.fleet.GroupEngineReports(now)
 	all.Limits, all.TargetLimits = p.view.limitBook.GroupUpdate(l.group, now), p.view.targetBook.GroupUpdate(l.group, now)
 	p.digest.count(digestTold)
 	return all
@@ -210,12 +210,12 @@
 	}
 	now := time.Now()
 	p.takeLimits(message, now)
-	p.fleet.HeardGroupLoad(int(g.Group), pulses.DecodeGroupLoads(g), now)
+	p.fleet.MergeGroupOccupancy(int(g.Group), pulses.DecodeGroupLoads(g), now)
 	p.heardFindings(message, now)
 	p.heardSuspects(message, now)
-	p.fleet.HeardGroupCaches(int(g.Group), pulses.DecodeCaches(message.Caches), now)
+	p.fleet.MergeGroupCacheUpdates(int(g.Group), pulses.DecodeCaches(message.Caches), now)
 	p.heardSaves(message, now)
-	p.fleet.HeardGroupWords(int(g.Group), pulses.DecodeEngines(message.Engines), now)
+	p.fleet.MergeGroupEngineReports(int(g.Group), pulses.DecodeEngines(message.Engines), now)
 	if g.PassedOn || !p.digest.passesOn(plan, int(g.Group), now) {
 		return
 	}
--- a/node/figures.go
+++ b/node/figures.go
@@ -17,8 +17,8 @@
 func (n *Node) logFigures(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, figuresEvery)
-		for service, f := range n.view.fleet.Figures(time.Now()) {
-			loads := n.view.fleet.Loads(service)
+		for service, f := range n.view.fleet.EngineCoefficients(time.Now()) {
+			loads := n.view.fleet.WeightLoads(service)
 			n.log.WithFields(logrus.Fields{
 				"event": "engine_figures", "service": service,
 				"fixed_ms": f.Base * 1e3, "thousand_tokens_ms": f.PerKiloToken * 1e3, "million_pairs_ms": f.PerMegaPair * 1e3,
--- a/node/foreign.go
+++ b/node/foreign.go
@@ -36,7 +36,7 @@
 
 // unnamed is a sound entry that waits for a configuration to name its service.
 type unnamed struct {
-	runner   fleet.Runner
+	runner   fleet.Target
 	revision int64
 }
 
@@ -93,7 +93,7 @@
 
 // hold keeps a target's entry and returns true if its service is not named yet.
 // told is set where a configuration has come, by which it can be judged.
-func (f *foreign) hold(r fleet.Runner, revision int64) (held, told bool) {
+func (f *foreign) hold(r fleet.Target, revision int64) (held, told bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.named[r.Service] {
@@ -127,7 +127,7 @@
 
 // known reports whether a target's service is one that the configuration names.
 // If not, the target is used no more; its entry waits for a configuration that does.
-func (v *view) known(r fleet.Runner, revision int64) bool {
+func (v *view) known(r fleet.Target, revision int64) bool {
 	held, told := v.foreign.hold(r, revision)
 	if !held {
 		v.foreign.release(r.ID)
--- a/node/node.go
+++ b/node/node.go
@@ -40,7 +40,7 @@
 	store    *platform.Store
 	front    *platform.Front
 	router   *router.Router
-	events   *fleet.EventWatch
+	events   *fleet.CacheWatcher
 	pulse    *pulse
 	name     string
 	stopping chan struct{}
@@ -122,7 +122,7 @@
 	n.serving, n.interrupt = context.WithCancelCause(context.Background())
 	runners := platform.NewRunners()
 	targets := fleet.New(s.Zone)
-	targets.Without(o.Disabled)
+	targets.Disable(o.Disabled)
 	n.session = lease.NewSession(n.store, max(leaseTTL, time.Duration(s.Store.MinLeaseMS)*time.Millisecond), leaseMargin)
 	n.view = &view{
 		fleet:   targets,
@@ -135,8 +135,8 @@
 	}
 	n.view.self = n.view.keys.members + n.name
 	n.view.limitBook = quota.NewLimiter(s.Bounds.Quota(), o.Disabled, n.session.Valid, time.Now())
-	n.view.targetBook = quota.NewLimiter(fleet.TargetBounds, o.Disabled, n.session.Valid, time.Now())
-	targets.KeepLimits(n.view.targetBook, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	n.view.targetBook = quota.NewLimiter(fleet.LimitTolerance, o.Disabled, n.session.Valid, time.Now())
+	targets.EnforceLimits(n.view.targetBook, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	n.limits = newLimitMetrics(n.registry, n.view.limitBook)
 	n.notices = newNoticeMetrics(n.registry)
 	if s.Bounds.RevokeFailClosed {
@@ -152,14 +152,14 @@
 		Leadership: n.view.seat, Client: runners, Fleet: targets, Services: n.view.services, Notify: n.pulse.soon, Metrics: rollout.NewMetrics(n.registry),
 		MaxStaleness: n.view.oldWeights,
 	}, log)
-	targets.OnRebirth(n.view.reborn)
-	targets.OnEnded(func(l fleet.Life) { n.view.verdicts.Table.RecordCrash(l, time.Now()) })
+	targets.OnRestart(n.view.reborn)
+	targets.OnEnd(func(l fleet.Instance) { n.view.verdicts.Table.RecordCrash(l, time.Now()) })
 	watches := telemetry.NewCounter(n.registry, "keel_node_store_watches_total", "Watches of the platform's store, by reason.", "reason")
 	timing := follow.Options{WatchTimeout: watchWait, BatchDelay: gather, PeerTimeout: n.view.patience, OnWatch: func(r follow.Reason) { watches.WithLabelValues(string(r)).Inc() }}
 	n.view.follower = follow.New(n.store, platform.AllKeys, timing, platform.NewFeed(n.view), log)
 	n.view.follower.OnChanges(n.pulse.watched)
 	n.registerGauges()
-	n.events = fleet.NewEventWatch(targets, runners)
+	n.events = fleet.NewCacheWatcher(targets, runners)
 	bounds := router.Bounds{OldWeights: n.view.oldWeights, Begin: time.Duration(s.Bounds.VersionMS)*time.Millisecond - beginMargin}
 	retries := router.RetryBounds{
 		Ratio:  s.Bounds.RetryRatio,
@@ -186,7 +186,7 @@
 		return n.view.oldestNaming(time.Now()).Seconds()
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_leaving_unlisted_targets", "Targets that say in answers that they leave and are not listed as draining.", func() float64 {
-		return float64(n.view.fleet.LeavingUnlisted())
+		return float64(n.view.fleet.UnlistedShutdowns())
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_seat_held", "1 while this node gives the orders.", func() float64 {
 		if _, held := n.view.seat.Held(); held {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -211,7 +211,7 @@
 	w.store.Set("op/version/"+model, []byte(`{"model":"m","version":2}`))
 	loaded := func(version int64) func() bool {
 		return func() bool {
-			return !slices.ContainsFunc(w.node.view.fleet.Runners("lm"), func(r fleet.Runner) bool { return r.Weights[model] != version })
+			return !slices.ContainsFunc(w.node.view.fleet.Targets("lm"), func(r fleet.Target) bool { return r.Weights[model] != version })
 		}
 	}
 	w.until("both runners are known to have the new weights", loaded(2))
@@ -225,15 +225,15 @@
 	if len(at.Seen()) == 0 {
 		at = w.runners[1]
 	}
-	life := fleet.Life{ID: at.ID, Born: at.Restart()}
+	life := fleet.Instance{ID: at.ID, Born: at.Restart()}
 	for _, n := range []*Node{w.node, second} {
-		w.until("the entry knows of the new life", func() bool { return n.view.fleet.Holds(life) })
+		w.until("the entry knows of the new life", func() bool { return n.view.fleet.IsCurrent(life) })
 	}
 	if a := <-streamed; a.err != nil || a.body != whole() {
 		t.Errorf("the stream ended as %q (%v)", a.body, a.err)
 	}
 	for _, n := range []*Node{w.node, second} {
-		if load := n.view.fleet.Inflight(life); load.Inflight != 0 || load.Prefill != 0 {
+		if load := n.view.fleet.Occupancy(life); load.Inflight != 0 || load.PrefillTokens != 0 {
 			t.Errorf("the new life has load %+v of the former", load)
 		}
 	}
--- a/node/notices.go
+++ b/node/notices.go
@@ -32,26 +32,26 @@
 func (n *Node) logTargetLimits(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, limitUsesEvery)
-		uses := n.view.fleet.LimitUses()
+		uses := n.view.fleet.TakeLimitUsage()
 		n.notices.limited.Set(float64(len(uses)))
 		for _, u := range uses {
 			n.notices.sent.WithLabelValues("request").Add(float64(u.Requests))
-			n.notices.sent.WithLabelValues("reading").Add(float64(u.Readings))
+			n.notices.sent.WithLabelValues("reading").Add(float64(u.CacheReads))
 			n.log.WithFields(logrus.Fields{
-				"event": "target_limit_use", "target": u.Target.ID, "born": u.Target.Born, "limit": u.Rate, "requests": u.Requests, "readings": u.Readings,
+				"event": "target_limit_use", "target": u.Target.ID, "born": u.Target.Born, "limit": u.Rate, "requests": u.Requests, "readings": u.CacheReads,
 			}).Info("sent in the last second to a target that names a limit")
 		}
 	}
 }
 
 // logHeard logs what another entry's news changed of targets' words on themselves.
-func (p *pulse) logHeard(heard fleet.Heard, from string) {
+func (p *pulse) logHeard(heard fleet.MergeResult, from string) {
 	for _, c := range heard.Limits {
 		p.log.WithFields(logrus.Fields{
-			"event": "target_limit", "from": from, "target": c.Target.ID, "born": c.Target.Born, "named": c.Now.Named, "limit": c.Now.Rate, "former": c.Former.Rate,
+			"event": "target_limit", "from": from, "target": c.Target.ID, "born": c.Target.Born, "named": c.New.Declared, "limit": c.New.Rate, "former": c.Old.Rate,
 		}).Info("another entry tells of a target's limit")
 	}
-	for _, l := range heard.Leaving {
+	for _, l := range heard.ShuttingDown {
 		p.log.WithFields(logrus.Fields{"event": "target_leaves", "from": from, "target": l.ID, "born": l.Born}).Info("another entry tells that the target leaves")
 	}
 }
--- a/node/notices_test.go
+++ b/node/notices_test.go
@@ -96,8 +96,8 @@
 			header := prompt()
 			header["Prefix-Hash"] = fmt.Sprintf("a%d:400,b%d:300,c%d:200", sent, sent, sent)
 			w.send("POST", "/draft/x", "", header)
-			for _, r := range n.view.fleet.Runners("lm") {
-				if n.view.fleet.Limit(r.Life()).Named {
+			for _, r := range n.view.fleet.Targets("lm") {
+				if n.view.fleet.Limit(r.Instance()).Declared {
 					return named
 				}
 			}
--- a/node/poison_test.go
+++ b/node/poison_test.go
@@ -50,7 +50,7 @@
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
 	go runner.KeepListed(w.runners, func(e store.Entry) { w.store.Set(e.Key, e.Value) }, stop)
-	w.until("all runners are known", func() bool { return len(w.node.view.fleet.Runners("lm")) == runners })
+	w.until("all runners are known", func() bool { return len(w.node.view.fleet.Targets("lm")) == runners })
 	return w
 }
 
@@ -242,11 +242,11 @@
 	c := poison.Case{Content: poison.Content{URI: "/silent"}.Fingerprint(), Service: "lm"}
 	now := time.Now()
 	for i := range poison.CrashThreshold {
-		gone := fleet.Runner{ID: fmt.Sprint("silent", i), Service: "lm", Address: "127.0.0.1:9", Weights: map[string]int64{model: 1}}
-		planned := fleet.Runner{ID: fmt.Sprint("leaving", i), Service: "lm", Address: "127.0.0.1:9", Draining: true}
-		for _, r := range []fleet.Runner{gone, planned} {
+		gone := fleet.Target{ID: fmt.Sprint("silent", i), Service: "lm", Address: "127.0.0.1:9", Weights: map[string]int64{model: 1}}
+		planned := fleet.Target{ID: fmt.Sprint("leaving", i), Service: "lm", Address: "127.0.0.1:9", Draining: true}
+		for _, r := range []fleet.Target{gone, planned} {
 			w.node.view.fleet.Put(r)
-			table.RecordBrokenResponse(c, r.Life(), now, now)
+			table.RecordBrokenResponse(c, r.Instance(), now, now)
 			w.node.view.drop(r.ID)
 		}
 		if ends := table.Evaluate(c.Content, time.Now()).Crashes; ends != i+1 {
@@ -303,7 +303,7 @@
 	former := runner.Start("gone", "lm", map[string]int64{model: 1})
 	entry := former.EntryAt("ready", w.runners[0].Address())
 	former.Close()
-	gone := fleet.Life{ID: "gone"}
+	gone := fleet.Instance{ID: "gone"}
 	table.RecordBrokenResponse(c, gone, time.Now(), time.Now())
 	w.store.Set(entry.Key, entry.Value)
 	w.until("somebody meets the other runner", func() bool {
--- a/node/pulse.go
+++ b/node/pulse.go
@@ -197,11 +197,11 @@
 
 // gather takes what there is to tell now.
 func (p *pulse) gather(now time.Time) pulses.Update {
-	all := pulses.Update{Loads: p.fleet.Occupied(pulseLoads), Findings: p.fleet.Findings(now), Caches: p.fleet.News(now), Saves: p.fleet.Saves(), Suspects: p.table.NextReports(now)}
+	all := pulses.Update{Loads: p.fleet.LocalOccupancy(pulseLoads), Findings: p.fleet.TargetUpdates(now), Caches: p.fleet.CacheUpdates(now), Saves: p.fleet.Saves(), Suspects: p.table.NextReports(now)}
 	if now.Sub(p.toldEngines) >= enginesEvery {
-		all.Engines, p.toldEngines = p.fleet.Words(now), now
+		all.Engines, p.toldEngines = p.fleet.EngineReports(now), now
 	}
-	if p.fleet.Off(policy.LoadSharing) {
+	if p.fleet.Disabled(policy.LoadSharing) {
 		all.Loads = nil
 	}
 	all.Limits, all.TargetLimits = p.view.limitBook.PeerUpdate(now), p.view.targetBook.PeerUpdate(now)
@@ -241,18 +241,18 @@
 	p.digest.heard(message.Sender, now)
 	p.meet(message.Sender, from, now)
 	if message.WholeLoad {
-		p.fleet.HeardLoad(message.Sender, pulses.DecodeLoads(message.Loads), now)
+		p.fleet.MergeOccupancy(message.Sender, pulses.DecodeLoads(message.Loads), now)
 	}
 	p.takeLimits(&message, now)
 	p.takeStore(&message)
 	p.heardNamings(&message, now)
 	p.digest.keep(pulses.Update{
 		Findings: p.heardFindings(&message, now),
-		Caches:   p.fleet.HeardCaches(message.Sender, pulses.DecodeCaches(message.Caches), now),
+		Caches:   p.fleet.MergeCacheUpdates(message.Sender, pulses.DecodeCaches(message.Caches), now),
 		Saves:    p.heardSaves(&message, now),
 		Suspects: p.heardSuspects(&message, now),
 	})
-	p.fleet.HeardWords(message.Sender, pulses.DecodeEngines(message.Engines), now)
+	p.fleet.MergeEngineReports(message.Sender, pulses.DecodeEngines(message.Engines), now)
 }
 
 // Figures of meetings.
@@ -327,22 +327,22 @@
 }
 
 // namings returns what an entry that starts needs to know of namings.
-func (p *pulse) namings(now time.Time) []fleet.Naming {
-	return p.fleet.Namings(p.view.oldWeights, now)
+func (p *pulse) namings(now time.Time) []fleet.DesiredVersion {
+	return p.fleet.DesiredHistory(p.view.oldWeights, now)
 }
 
 // toldLag is how old a word on namings may be beside what it says.
 const toldLag = 100 * time.Millisecond
 
 func (p *pulse) heardNamings(message *keelv1.Pulse, now time.Time) {
-	for _, n := range p.fleet.HeardNamings(pulses.DecodeNamings(message.Namings), now.Add(-toldLag)) {
+	for _, n := range p.fleet.MergeDesiredHistory(pulses.DecodeNamings(message.Namings), now.Add(-toldLag)) {
 		p.log.WithFields(logrus.Fields{"event": "namings_heard", "from": message.Sender, "model": n.Model, "weights": n.Version, "age_ms": n.Age.Milliseconds()}).Info("another entry tells since when the weights are wanted")
 	}
 }
 
-func (p *pulse) heardFindings(message *keelv1.Pulse, now time.Time) []fleet.Finding {
+func (p *pulse) heardFindings(message *keelv1.Pulse, now time.Time) []fleet.TargetUpdate {
 	all := pulses.DecodeFindings(message.Findings)
-	p.logHeard(p.fleet.HeardFindings(all, now), message.Sender)
+	p.logHeard(p.fleet.MergeTargetUpdates(all, now), message.Sender)
 	return all
 }
 
@@ -354,7 +354,7 @@
 
 func (p *pulse) heardSaves(message *keelv1.Pulse, now time.Time) []fleet.Saves {
 	all := pulses.DecodeSaves(message.Saves)
-	p.fleet.HeardSaves(all, now)
+	p.fleet.MergeSaves(all, now)
 	return all
 }
 
--- a/node/view.go
+++ b/node/view.go
@@ -110,10 +110,10 @@
 		return
 	}
 	v.config.Store(c)
-	var stores []fleet.KeptStore
+	var stores []fleet.KVCacheStore
 	for _, s := range c.Services {
 		if s.KVStore != "" {
-			stores = append(stores, fleet.KeptStore{Address: s.KVStore, Capacity: s.KVTokens, Zone: s.Zone, LinkMbps: s.KVLinkMbps})
+			stores = append(stores, fleet.KVCacheStore{Address: s.KVStore, Capacity: s.KVTokens, Zone: s.Zone, LinkMbps: s.KVLinkMbps})
 		}
 	}
 	v.fleet.SetStores(stores)
@@ -139,7 +139,7 @@
 	}
 	earliest := now.Add(-v.oldWeights)
 	age, ok := v.follower.Age()
-	if !ok || v.fleet.Newest(model) == 0 {
+	if !ok || v.fleet.DesiredVersion(model) == 0 {
 		return earliest, true
 	}
 	if at := now.Add(-age); at.After(earliest) {
@@ -152,7 +152,7 @@
 func (v *view) Named(n platform.Naming) {
 	now := time.Now()
 	at, guessed := v.namedAt(n.Model, n.Listed, now)
-	if !v.fleet.Name(n.Model, n.Version, at, guessed) {
+	if !v.fleet.RecordDesired(n.Model, n.Version, at, guessed) {
 		return
 	}
 	fields := logrus.Fields{"event": "weights_named", "model": n.Model, "weights": n.Version, "revision": n.Revision, "listed": n.Listed, "guessed": guessed, "age_ms": now.Sub(at).Milliseconds()}
@@ -166,9 +166,9 @@
 	oldest := time.Duration(0)
 	for model, services := range v.services() {
 		for _, service := range services {
-			for _, r := range v.fleet.Runners(service) {
+			for _, r := range v.fleet.Targets(service) {
 				if !r.Draining {
-					oldest = max(oldest, v.fleet.BehindFor(model, r.Weights[model], now))
+					oldest = max(oldest, v.fleet.StaleFor(model, r.Weights[model], now))
 				}
 			}
 		}
@@ -177,7 +177,7 @@
 }
 
 // Listed implements platform.View.
-func (v *view) Listed(r fleet.Runner, revision int64) {
+func (v *view) Listed(r fleet.Target, revision int64) {
 	if !v.known(r, revision) {
 		return
 	}
@@ -196,7 +196,7 @@
 const respite = 1800 * time.Millisecond
 
 // reborn logs the first sign of a target's later life.
-func (v *view) reborn(now, former fleet.Life) {
+func (v *view) reborn(now, former fleet.Instance) {
 	v.log.WithFields(logrus.Fields{"event": "target_reborn", "target": now.ID, "born": now.Born, "former": former.Born}).Info("the target started again; what was kept of its former life has ended")
 	v.holder.Wake()
 	v.verdicts.Table.RecordCrash(former, time.Now())
@@ -227,7 +227,7 @@
 	if last, ok := v.fleet.Remove(id); ok && !last.Draining {
 		// Of one that said nothing of leaving, answers that broke off just before are
 		// the sign of a crash: of a machine that fell silent there is no other.
-		v.verdicts.Table.RecordCrash(last.Life(), time.Now())
+		v.verdicts.Table.RecordCrash(last.Instance(), time.Now())
 	}
 	v.log.WithFields(logrus.Fields{"event": "target_gone", "target": id}).Info("the list lost the target")
 }
--- a/node/view_test.go
+++ b/node/view_test.go
@@ -75,10 +75,10 @@
 	go v.follower.Run(ctx)
 	<-n.done
 	now := time.Now()
-	if behind := f.BehindFor("m", 1, now); behind > 10*time.Second {
+	if behind := f.StaleFor("m", 1, now); behind > 10*time.Second {
 		t.Errorf("weights 2 count as wanted for %v", behind)
 	}
-	if behind := f.BehindFor("m", 0, now); behind < 16*time.Second {
+	if behind := f.StaleFor("m", 0, now); behind < 16*time.Second {
 		t.Errorf("weights 1, found by the first listing, count as wanted for %v only", behind)
 	}
 }
@@ -89,7 +89,7 @@
 func TestANamingCountsFromWhenItMayHaveBeenAcknowledged(t *testing.T) {
 	v, f := quietView()
 	v.Named(platform.Naming{Model: "m", Version: 2})
-	if behind := f.BehindFor("m", 1, time.Now()); behind < gather {
+	if behind := f.StaleFor("m", 1, time.Now()); behind < gather {
 		t.Errorf("weights that were heard of just now count as wanted for %v; the pause alone is %v", behind, gather)
 	}
 }
--- a/node/watchshare.go
+++ b/node/watchshare.go
@@ -80,7 +80,7 @@
 
 // watched takes changes that an own watch brought, to be told at once.
 func (p *pulse) watched(c follow.Changes) {
-	if p.fleet.Off(policy.SharedWatch) {
+	if p.fleet.Disabled(policy.SharedWatch) {
 		return
 	}
 	pieces, ok := divideChanges(c)
@@ -143,7 +143,7 @@
 // storeView returns what this node confirms of the store, or nil. The marks are
 // taken before the age is worked out.
 func (p *pulse) storeView() *keelv1.StoreView {
-	if p.view.follower == nil || p.fleet.Off(policy.SharedWatch) {
+	if p.view.follower == nil || p.fleet.Disabled(policy.SharedWatch) {
 		return nil
 	}
 	out := &keelv1.StoreView{}
@@ -166,7 +166,7 @@
 	if message.MarkUs > 0 {
 		p.watch.heardMark(message.Sender, message.MarkUs, time.Now())
 	}
-	if p.view.follower == nil || p.fleet.Off(policy.SharedWatch) {
+	if p.view.follower == nil || p.fleet.Disabled(policy.SharedWatch) {
 		return
 	}
 	for _, c := range message.Changes {
--- a/poison/news.go
+++ b/poison/news.go
@@ -36,12 +36,12 @@
 	// Remaining is how much longer a verdict holds; 0 is none.
 	Remaining time.Duration
 	// RunningOn is the target at which a request with the content is under way; nil where none is.
-	RunningOn *fleet.Life
+	RunningOn *fleet.Instance
 }
 
 // Crash is a life that ended under a content.
 type Crash struct {
-	Life    fleet.Life
+	Life    fleet.Instance
 	Cleared bool
 }
 
@@ -119,7 +119,7 @@
 
 // report returns what is told of a content. Whose it is matters to the others once more
 // than one target has ended.
-func (r *record) report(at *fleet.Life, now time.Time) Report {
+func (r *record) report(at *fleet.Instance, now time.Time) Report {
 	out := Report{Case: r.Case, RunningOn: at, Remaining: max(0, r.until.Sub(now))}
 	if len(r.ends) < 2 {
 		out.Case = Case{Content: r.Content}
@@ -132,7 +132,7 @@
 
 // ownTarget returns a target at which this process has a request with a content, or
 // nil; the caller holds mu.
-func (t *Table) ownTarget(content Fingerprint) *fleet.Life {
+func (t *Table) ownTarget(content Fingerprint) *fleet.Instance {
 	for _, s := range t.running[content] {
 		if s.at != nil {
 			return s.at
@@ -179,7 +179,7 @@
 	if report.lapsed() {
 		// It is on trial there. Taken for ends that have just been seen, they would begin
 		// a verdict anew at whoever starts, with no end since the last one.
-		take = func(c Case, life fleet.Life, from Origin, now time.Time) { t.hold(c, life, from, now) }
+		take = func(c Case, life fleet.Instance, from Origin, now time.Time) { t.hold(c, life, from, now) }
 	}
 	for _, e := range report.Crashes {
 		if !e.Cleared {
@@ -209,10 +209,10 @@
 
 // discharge takes that an end counts no more; the caller holds mu. It is kept also
 // where the end is not known: its news may come later than that of its discharge.
-func (t *Table) discharge(c Case, life fleet.Life, now time.Time) {
+func (t *Table) discharge(c Case, life fleet.Instance, now time.Time) {
 	r := t.record(c, now)
 	for i, e := range r.ends {
-		if e.life.Same(life) {
+		if e.life.Matches(life) {
 			r.ends[i].discharged = true
 			return
 		}
--- a/poison/table.go
+++ b/poison/table.go
@@ -84,7 +84,7 @@
 // content has been served since or an operator lifted the verdict, counts no more,
 // whoever tells of it later.
 type end struct {
-	life       fleet.Life
+	life       fleet.Instance
 	discharged bool
 	// known is when this process came to know of it.
 	known time.Time
@@ -93,7 +93,7 @@
 // broken is an answer that its target broke off.
 type broken struct {
 	of   Case
-	life fleet.Life
+	life fleet.Instance
 	// began is when the request was sent there, at when it broke off.
 	began, at time.Time
 }
@@ -105,11 +105,11 @@
 	// running are this process's requests, by content, tried those suspects of them that
 	// are at a target, and elsewhere those that others say they have under way.
 	running   map[Fingerprint][]*ActiveRequest
-	tried     map[*ActiveRequest]fleet.Life
+	tried     map[*ActiveRequest]fleet.Instance
 	elsewhere map[Fingerprint]underWay
 	// broken are the answers that wait for evidence, and ended the lives of which it came.
 	broken []broken
-	ended  map[fleet.Life]time.Time
+	ended  map[fleet.Instance]time.Time
 	// room is how many bytes may be told, as of toldAt.
 	room   int
 	toldAt time.Time
@@ -122,7 +122,7 @@
 
 // underWay is another process's word that a suspect is at a target.
 type underWay struct {
-	at    fleet.Life
+	at    fleet.Instance
 	heard time.Time
 }
 
@@ -133,8 +133,8 @@
 // New returns an empty table. It tells changed of each change; changed may be nil.
 func New(changed func(Change)) *Table {
 	return &Table{
-		records: map[Fingerprint]*record{}, running: map[Fingerprint][]*ActiveRequest{}, tried: map[*ActiveRequest]fleet.Life{}, elsewhere: map[Fingerprint]underWay{},
-		ended: map[fleet.Life]time.Time{}, changed: changed,
+		records: map[Fingerprint]*record{}, running: map[Fingerprint][]*ActiveRequest{}, tried: map[*ActiveRequest]fleet.Instance{}, elsewhere: map[Fingerprint]underWay{},
+		ended: map[fleet.Instance]time.Time{}, changed: changed,
 	}
 }
 
@@ -153,13 +153,13 @@
 
 // RecordBrokenResponse takes that a target broke off its answer to a request that it was sent at began.
 // That counts once the target is known to have ended.
-func (t *Table) RecordBrokenResponse(c Case, life fleet.Life, began, now time.Time) {
+func (t *Table) RecordBrokenResponse(c Case, life fleet.Instance, began, now time.Time) {
 	t.mu.Lock()
 	defer t.unlock()
 	t.age(now)
 	b := broken{of: c, life: life, began: began, at: now}
 	for l, at := range t.ended {
-		if l.Same(life) && !began.After(at) {
+		if l.Matches(life) && !began.After(at) {
 			t.countSeen(b, now)
 			return
 		}
@@ -183,20 +183,20 @@
 }
 
 // AwaitsEvidence reports whether broken answers of a life wait for evidence.
-func (t *Table) AwaitsEvidence(life fleet.Life) bool {
+func (t *Table) AwaitsEvidence(life fleet.Instance) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.ContainsFunc(t.broken, func(b broken) bool { return b.life.Same(life) })
+	return slices.ContainsFunc(t.broken, func(b broken) bool { return b.life.Matches(life) })
 }
 
 // RecordCrash takes the evidence that a life of a target has ended, and not as planned.
-func (t *Table) RecordCrash(life fleet.Life, now time.Time) {
+func (t *Table) RecordCrash(life fleet.Instance, now time.Time) {
 	t.mu.Lock()
 	defer t.unlock()
 	t.age(now)
 	t.ended[life] = now
 	t.broken = slices.DeleteFunc(t.broken, func(b broken) bool {
-		if !b.life.Same(life) {
+		if !b.life.Matches(life) {
 			return false
 		}
 		t.countSeen(b, now)
@@ -217,7 +217,7 @@
 
 // count adds an end to a content's, and begins a verdict where it is one too many; the
 // caller holds mu.
-func (t *Table) count(c Case, life fleet.Life, from Origin, now time.Time) {
+func (t *Table) count(c Case, life fleet.Instance, from Origin, now time.Time) {
 	r, added := t.hold(c, life, from, now)
 	if added && r.counted() >= CrashThreshold && !now.Before(r.until) {
 		t.convict(r, c, life, from, now)
@@ -226,7 +226,7 @@
 
 // hold adds an end to a content's, and reports whether it was not known; the caller holds
 // mu.
-func (t *Table) hold(c Case, life fleet.Life, from Origin, now time.Time) (r *record, added bool) {
+func (t *Table) hold(c Case, life fleet.Instance, from Origin, now time.Time) (r *record, added bool) {
 	r = t.record(c, now)
 	if r.has(life) {
 		return r, false
@@ -242,7 +242,7 @@
 }
 
 // convict begins a verdict; the caller holds mu.
-func (t *Table) convict(r *record, c Case, life fleet.Life, from Origin, now time.Time) {
+func (t *Table) convict(r *record, c Case, life fleet.Instance, from Origin, now time.Time) {
 	r.term = min(max(2*r.term, firstTerm), mostTerm)
 	r.until, r.expired, r.kept = now.Add(r.term), false, from == OriginStore
 	r.unkept = r.unkept || from == OriginLocal
@@ -298,8 +298,8 @@
 	t.change(Change{Kind: Dropped, Crashes: least.counted()}, least.Case)
 }
 
-func (r *record) has(life fleet.Life) bool {
-	return slices.ContainsFunc(r.ends, func(e end) bool { return e.life.Same(life) })
+func (r *record) has(life fleet.Instance) bool {
+	return slices.ContainsFunc(r.ends, func(e end) bool { return e.life.Matches(life) })
 }
 
 // lastEnd returns when the last end of a target came to be known.
--- a/pulses/held.go
+++ b/pulses/held.go
@@ -38,10 +38,10 @@
 			Remaining: time.Duration(min(w.RefusedMs, refusedMost)) * time.Millisecond,
 		}
 		for _, e := range w.Ends {
-			r.Crashes = append(r.Crashes, poison.Crash{Life: fleet.Life{ID: e.Target, Born: e.Born}, Cleared: e.Discharged})
+			r.Crashes = append(r.Crashes, poison.Crash{Life: fleet.Instance{ID: e.Target, Born: e.Born}, Cleared: e.Discharged})
 		}
 		if w.UnderWay != nil {
-			r.RunningOn = &fleet.Life{ID: w.UnderWay.Target, Born: w.UnderWay.Born}
+			r.RunningOn = &fleet.Instance{ID: w.UnderWay.Target, Born: w.UnderWay.Born}
 		}
 		out = append(out, r)
 	}
@@ -53,7 +53,7 @@
 const refusedMost = 365 * 24 * 3600 * 1000
 
 // EncodeNamings encodes namings of weights.
-func EncodeNamings(all []fleet.Naming) []*keelv1.WeightsNaming {
+func EncodeNamings(all []fleet.DesiredVersion) []*keelv1.WeightsNaming {
 	var out []*keelv1.WeightsNaming
 	for _, n := range all {
 		out = append(out, &keelv1.WeightsNaming{Model: n.Model, Version: n.Version, AgeMs: uint64(max(0, n.Age.Milliseconds()))})
@@ -62,12 +62,12 @@
 }
 
 // DecodeNamings decodes them.
-func DecodeNamings(all []*keelv1.WeightsNaming) []fleet.Naming {
-	var out []fleet.Naming
+func DecodeNamings(all []*keelv1.WeightsNaming) []fleet.DesiredVersion {
+	var out []fleet.DesiredVersion
 	for _, n := range all {
 		// A word is a peer's, not to be trusted to fit.
 		age := time.Duration(min(n.AgeMs, uint64(longestAge.Milliseconds()))) * time.Millisecond
-		out = append(out, fleet.Naming{Model: n.Model, Version: n.Version, Age: age})
+		out = append(out, fleet.DesiredVersion{Model: n.Model, Version: n.Version, Age: age})
 	}
 	return out
 }
--- a/pulses/wire.go
+++ b/pulses/wire.go
@@ -24,12 +24,12 @@
 // Update is all that one pulse tells.
 type Update struct {
 	Loads    []fleet.Occupancy
-	Findings []fleet.Finding
-	Caches   []fleet.CacheNews
+	Findings []fleet.TargetUpdate
+	Caches   []fleet.CacheUpdate
 	Saves    []fleet.Saves
 	Engines  []forecast.Report
 	Suspects []poison.Report
-	Namings  []fleet.Naming
+	Namings  []fleet.DesiredVersion
 	Limits   quota.UsageUpdate
 	// TargetLimits is what was sent to targets that name limits.
 	TargetLimits quota.UsageUpdate
@@ -124,9 +124,9 @@
 		g.Born = append(g.Born, o.Target.Born)
 		g.Inflight = append(g.Inflight, uint32(o.Inflight))
 		g.Long = append(g.Long, uint32(o.Long))
-		g.PrefillTokens = append(g.PrefillTokens, uint32(max(0, o.Prefill)))
+		g.PrefillTokens = append(g.PrefillTokens, uint32(max(0, o.PrefillTokens)))
 		g.Resumable = append(g.Resumable, uint32(o.Resumable))
-		g.Held = append(g.Held, uint32(max(0, o.Held)))
+		g.Held = append(g.Held, uint32(max(0, o.HeldTokens)))
 	}
 }
 
@@ -137,8 +137,8 @@
 	out := make([]fleet.Occupancy, 0, n)
 	for i := range n {
 		out = append(out, fleet.Occupancy{
-			Target: fleet.Life{ID: g.Target[i], Born: g.Born[i]}, Inflight: int(g.Inflight[i]), Long: int(g.Long[i]),
-			Prefill: int(g.PrefillTokens[i]), Resumable: int(g.Resumable[i]), Held: int(g.Held[i]),
+			Target: fleet.Instance{ID: g.Target[i], Born: g.Born[i]}, Inflight: int(g.Inflight[i]), Long: int(g.Long[i]),
+			PrefillTokens: int(g.PrefillTokens[i]), Resumable: int(g.Resumable[i]), HeldTokens: int(g.Held[i]),
 		})
 	}
 	return out
@@ -149,7 +149,7 @@
 	for _, o := range all {
 		out = append(out, &keelv1.TargetLoad{
 			Target: o.Target.ID, Born: o.Target.Born, Inflight: uint32(o.Inflight), Long: uint32(o.Long),
-			PrefillTokens: uint32(max(0, o.Prefill)), Resumable: uint32(o.Resumable), Held: uint32(max(0, o.Held)),
+			PrefillTokens: uint32(max(0, o.PrefillTokens)), Resumable: uint32(o.Resumable), Held: uint32(max(0, o.HeldTokens)),
 		})
 	}
 	return out
@@ -160,16 +160,16 @@
 	out := make([]fleet.Occupancy, 0, len(all))
 	for _, w := range all {
 		out = append(out, fleet.Occupancy{
-			Target: fleet.Life{ID: w.Target, Born: w.Born}, Inflight: int(w.Inflight), Long: int(w.Long), Prefill: int(w.PrefillTokens), Resumable: int(w.Resumable), Held: int(w.Held),
+			Target: fleet.Instance{ID: w.Target, Born: w.Born}, Inflight: int(w.Inflight), Long: int(w.Long), PrefillTokens: int(w.PrefillTokens), Resumable: int(w.Resumable), HeldTokens: int(w.Held),
 		})
 	}
 	return out
 }
 
-func encodeFindings(all []fleet.Finding) []*keelv1.TargetFinding {
+func encodeFindings(all []fleet.TargetUpdate) []*keelv1.TargetFinding {
 	out := make([]*keelv1.TargetFinding, 0, len(all))
 	for _, found := range all {
-		w := &keelv1.TargetFinding{Target: found.Target.ID, Born: found.Target.Born, BusyMs: uint32(found.Busy.Milliseconds()), Leaving: found.Leaving}
+		w := &keelv1.TargetFinding{Target: found.Target.ID, Born: found.Target.Born, BusyMs: uint32(found.BusyFor.Milliseconds()), Leaving: found.ShuttingDown}
 		for model, version := range found.Weights {
 			w.Weights = append(w.Weights, &keelv1.LoadedWeights{Model: model, Version: version})
 		}
@@ -180,32 +180,32 @@
 	return out
 }
 
-func encodeTargetLimit(told *fleet.ToldLimit) *keelv1.TargetLimit {
+func encodeTargetLimit(told *fleet.LimitUpdate) *keelv1.TargetLimit {
 	if told == nil {
 		return nil
 	}
-	return &keelv1.TargetLimit{Named: told.Named, Rate: told.Rate, AgeUs: Micros(told.Age)}
+	return &keelv1.TargetLimit{Named: told.Declared, Rate: told.Rate, AgeUs: Micros(told.Age)}
 }
 
 // decodeTargetLimit leaves out a limit that is no figure.
-func decodeTargetLimit(w *keelv1.TargetLimit) *fleet.ToldLimit {
+func decodeTargetLimit(w *keelv1.TargetLimit) *fleet.LimitUpdate {
 	if w == nil || math.IsNaN(w.Rate) || w.Rate < 0 {
 		return nil
 	}
-	return &fleet.ToldLimit{Limit: fleet.Limit{Named: w.Named, Rate: w.Rate}, Age: FromMicros(min(w.AgeUs, Micros(longestAge)))}
+	return &fleet.LimitUpdate{Limit: fleet.Limit{Declared: w.Named, Rate: w.Rate}, Age: FromMicros(min(w.AgeUs, Micros(longestAge)))}
 }
 
 // DecodeFindings decodes what was learnt of targets.
-func DecodeFindings(all []*keelv1.TargetFinding) []fleet.Finding {
-	out := make([]fleet.Finding, 0, len(all))
+func DecodeFindings(all []*keelv1.TargetFinding) []fleet.TargetUpdate {
+	out := make([]fleet.TargetUpdate, 0, len(all))
 	for _, w := range all {
-		found := fleet.Finding{
-			Target:  fleet.Life{ID: w.Target, Born: w.Born},
-			Weights: map[string]int64{},
-			Busy:    time.Duration(w.BusyMs) * time.Millisecond,
-			Parts:   decodeParts(w.PartHash, w.PartTokens),
-			Limit:   decodeTargetLimit(w.Limit),
-			Leaving: w.Leaving,
+		found := fleet.TargetUpdate{
+			Target:       fleet.Instance{ID: w.Target, Born: w.Born},
+			Weights:      map[string]int64{},
+			BusyFor:      time.Duration(w.BusyMs) * time.Millisecond,
+			Parts:        decodeParts(w.PartHash, w.PartTokens),
+			Limit:        decodeTargetLimit(w.Limit),
+			ShuttingDown: w.Leaving,
 		}
 		for _, l := range w.Weights {
 			found.Weights[l.Model] = l.Version
@@ -232,11 +232,11 @@
 }
 
 // EncodeCaches encodes what changed in caches.
-func EncodeCaches(all []fleet.CacheNews) []*keelv1.CacheNews {
+func EncodeCaches(all []fleet.CacheUpdate) []*keelv1.CacheNews {
 	out := make([]*keelv1.CacheNews, 0, len(all))
 	for _, n := range all {
 		w := &keelv1.CacheNews{
-			Address: n.Address, Target: n.Target.ID, Born: n.Target.Born, Boot: n.Boot, Next: n.Next, DroppedHash: n.Dropped, Silent: n.Silent,
+			Address: n.Address, Target: n.Target.ID, Born: n.Target.Born, Boot: n.Boot, Next: n.Next, DroppedHash: n.Evicted, Silent: n.Unresponsive,
 		}
 		w.StoredHash, w.StoredTokens = encodeParts(n.Stored)
 		out = append(out, w)
@@ -245,12 +245,12 @@
 }
 
 // DecodeCaches decodes it.
-func DecodeCaches(all []*keelv1.CacheNews) []fleet.CacheNews {
-	out := make([]fleet.CacheNews, 0, len(all))
+func DecodeCaches(all []*keelv1.CacheNews) []fleet.CacheUpdate {
+	out := make([]fleet.CacheUpdate, 0, len(all))
 	for _, w := range all {
-		out = append(out, fleet.CacheNews{
-			Address: w.Address, Target: fleet.Life{ID: w.Target, Born: w.Born}, Boot: w.Boot, Next: w.Next, Silent: w.Silent,
-			Stored: decodeParts(w.StoredHash, w.StoredTokens), Dropped: w.DroppedHash,
+		out = append(out, fleet.CacheUpdate{
+			Address: w.Address, Target: fleet.Instance{ID: w.Target, Born: w.Born}, Boot: w.Boot, Next: w.Next, Unresponsive: w.Silent,
+			Stored: decodeParts(w.StoredHash, w.StoredTokens), Evicted: w.DroppedHash,
 		})
 	}
 	return out
@@ -330,9 +330,9 @@
 // bytes, and returns about how many are used. Of each kind the newest stay.
 func (p *Update) TruncateTo(room int) (used int) {
 	p.Suspects = newest(p.Suspects, &used, room, func(r poison.Report) int { return 100 + 30*len(r.Crashes) })
-	p.Findings = newest(p.Findings, &used, room, func(f fleet.Finding) int { return 60 + PartBytes*len(f.Parts) })
+	p.Findings = newest(p.Findings, &used, room, func(f fleet.TargetUpdate) int { return 60 + PartBytes*len(f.Parts) })
 	p.Saves = newest(p.Saves, &used, room, func(s fleet.Saves) int { return 24 + 8*len(s.Parts) })
-	p.Caches = newest(p.Caches, &used, room, func(n fleet.CacheNews) int { return 48 + PartBytes*len(n.Stored) + 8*len(n.Dropped) })
+	p.Caches = newest(p.Caches, &used, room, func(n fleet.CacheUpdate) int { return 48 + PartBytes*len(n.Stored) + 8*len(n.Evicted) })
 	return used
 }
 
--- a/rollout/deadline.go
+++ b/rollout/deadline.go
@@ -15,12 +15,12 @@
 	short map[string]bool
 }
 
-func (in Input) deadlines(behind []fleet.Runner) deadlines {
+func (in Input) deadlines(behind []fleet.Target) deadlines {
 	d := deadlines{in, map[string]bool{}}
 	if in.Bound <= 0 {
 		return d
 	}
-	byTime := slices.SortedFunc(slices.Values(behind), func(a, b fleet.Runner) int { return cmp.Compare(d.left(a), d.left(b)) })
+	byTime := slices.SortedFunc(slices.Values(behind), func(a, b fleet.Target) int { return cmp.Compare(d.left(a), d.left(b)) })
 	for i := len(byTime) - 1; i >= 0; i-- {
 		rounds := i/max(1, in.AtOnce) + 1
 		left := d.left(byTime[i])
@@ -36,20 +36,20 @@
 }
 
 // left returns the time in which a runner gets requests yet.
-func (d deadlines) left(r fleet.Runner) time.Duration {
+func (d deadlines) left(r fleet.Target) time.Duration {
 	return d.Bound - d.Behind[r.ID]
 }
 
 // holdsBack reports whether a runner gets no requests any more and has some that may
 // still wait for their slot: an order refuses these unrun, so that they go elsewhere
 // before the bound, and its load begins only when the runs have ended.
-func (d deadlines) holdsBack(r fleet.Runner) bool {
+func (d deadlines) holdsBack(r fleet.Target) bool {
 	return d.Bound > 0 && d.left(r) <= 0 && d.Inflight[r.ID] > 0
 }
 
 // places returns how many orders may be under way, so that each of those due, in their
 // order, has its order ended in time; half of the runners stay in service.
-func (d deadlines) places(due []fleet.Runner) int {
+func (d deadlines) places(due []fleet.Target) int {
 	places := d.AtOnce
 	for i, r := range due {
 		if left := d.left(r); d.short[r.ID] && left > 0 {
--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -18,7 +18,7 @@
 // RunnerClient reaches runners.
 type RunnerClient interface {
 	// Report asks a runner for its state.
-	Report(ctx context.Context, of fleet.Runner) (fleet.Report, error)
+	Report(ctx context.Context, of fleet.Target) (fleet.Status, error)
 	// Order gives an order.
 	Order(ctx context.Context, o fleet.Order) (fleet.OrderResult, error)
 }
@@ -75,7 +75,7 @@
 
 // underway is an order that has not ended: the life of its runner, and since when.
 type underway struct {
-	life  fleet.Life
+	life  fleet.Instance
 	since time.Time
 }
 
@@ -127,10 +127,10 @@
 func (h *Controller) look(ctx context.Context) {
 	services := h.services()
 	h.waiting.begin()
-	for model, desired := range h.fleet.Named() {
-		var runners []fleet.Runner
+	for model, desired := range h.fleet.DesiredVersions() {
+		var runners []fleet.Target
 		for _, service := range services[model] {
-			runners = append(runners, h.fleet.Runners(service)...)
+			runners = append(runners, h.fleet.Targets(service)...)
 		}
 		in := h.input(model, desired, runners)
 		turns := Turns(in)
@@ -144,7 +144,7 @@
 	h.waiting.end()
 }
 
-func (h *Controller) input(model string, desired int64, runners []fleet.Runner) Input {
+func (h *Controller) input(model string, desired int64, runners []fleet.Target) Input {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	in := Input{
@@ -158,19 +158,19 @@
 	}
 	now := time.Now()
 	for id, u := range h.underway {
-		if h.fleet.Holds(u.life) {
+		if h.fleet.IsCurrent(u.life) {
 			in.Underway[id] = now.Sub(u.since)
 		}
 	}
 	if len(runners) > 0 {
-		known := h.fleet.Loads(runners[0].Service)
+		known := h.fleet.WeightLoads(runners[0].Service)
 		in.AtOnce = known.MaxConcurrent(len(runners))
 		in.Bound, in.Each = h.bound, cmp.Or(h.took, known.OrderDuration())
 	}
 	for _, r := range runners {
-		load := h.fleet.Inflight(r.Life())
+		load := h.fleet.Occupancy(r.Instance())
 		in.Inflight[r.ID], in.Long[r.ID] = load.Inflight, load.Long
-		in.Behind[r.ID] = h.fleet.BehindFor(model, r.Weights[model], now)
+		in.Behind[r.ID] = h.fleet.StaleFor(model, r.Weights[model], now)
 	}
 	return in
 }
@@ -178,12 +178,12 @@
 func (h *Controller) begin(ctx context.Context, t Turn, model string, desired int64) {
 	r := t.Runner
 	h.mu.Lock()
-	h.underway[r.ID] = underway{life: r.Life(), since: time.Now()}
+	h.underway[r.ID] = underway{life: r.Instance(), since: time.Now()}
 	h.mu.Unlock()
 	go func() {
 		h.bring(ctx, t, model, desired)
 		h.mu.Lock()
-		if h.underway[r.ID].life == r.Life() {
+		if h.underway[r.ID].life == r.Instance() {
 			delete(h.underway, r.ID)
 		}
 		h.mu.Unlock()
@@ -208,10 +208,10 @@
 func (h *Controller) bring(ctx context.Context, t Turn, model string, desired int64) {
 	r, began := t.Runner, time.Now()
 	truncate := h.clear(ctx, t)
-	cleared, left := time.Since(began), h.fleet.Inflight(r.Life())
+	cleared, left := time.Since(began), h.fleet.Occupancy(r.Instance())
 	report, err := h.orderer.Report(ctx, r)
-	if errors.Is(err, fleet.ErrOtherRunner) {
-		h.fleet.Ended(r.Life())
+	if errors.Is(err, fleet.ErrTargetReplaced) {
+		h.fleet.RecordEnd(r.Instance())
 	}
 	if err != nil {
 		h.event("report_failed", r, model, desired).WithError(err).Warn("the runner can't be asked; it is tried again")
@@ -226,7 +226,7 @@
 	if report.Born != 0 {
 		r.Born = report.Born
 	}
-	h.fleet.Learn(r.Life(), model, report.Weights[model], time.Now())
+	h.fleet.RecordWeights(r.Instance(), model, report.Weights[model], time.Now())
 	if report.Weights[model] >= desired {
 		return
 	}
@@ -242,17 +242,17 @@
 	}
 	// A later life counts its orders from nothing: by the count of a former one
 	// an order may be carried out that was not meant for it, or a newer one refused.
-	if !h.fleet.Holds(r.Life()) {
+	if !h.fleet.IsCurrent(r.Instance()) {
 		return
 	}
-	result, err := h.give(ctx, fleet.Order{Runner: r, Model: model, Weights: desired, Holder: h.name, Fence: fence, Orders: report.Orders, Truncate: truncate})
-	h.event("order", r, model, desired).WithFields(logrus.Fields{"result": result, "fence": fence, "orders": report.Orders, "truncate": truncate, "cleared_ms": cleared.Milliseconds(), "inflight": left.Inflight, "resumable": left.Resumable, "long": left.Long}).WithError(err).Info("order given")
+	result, err := h.give(ctx, fleet.Order{Target: r, Model: model, WeightsVersion: desired, Holder: h.name, Fence: fence, ExpectedOrders: report.AcceptedOrders, Truncate: truncate})
+	h.event("order", r, model, desired).WithFields(logrus.Fields{"result": result, "fence": fence, "orders": report.AcceptedOrders, "truncate": truncate, "cleared_ms": cleared.Milliseconds(), "inflight": left.Inflight, "resumable": left.Resumable, "long": left.Long}).WithError(err).Info("order given")
 	switch result {
-	case fleet.OrderHolds:
-		h.fleet.Learn(r.Life(), model, desired, time.Now())
+	case fleet.OrderAlreadyLoaded:
+		h.fleet.RecordWeights(r.Instance(), model, desired, time.Now())
 	case fleet.OrderMisdirected:
 		// Another runner has the address: this one has ended, whatever the list says.
-		h.fleet.Ended(r.Life())
+		h.fleet.RecordEnd(r.Instance())
 	case fleet.OrderAccepted:
 		if h.await(ctx, r, model, desired) {
 			h.tookOne(time.Since(began))
@@ -284,14 +284,14 @@
 	if t.Short {
 		tries = clearTriesShort
 	}
-	if h.fleet.Inflight(r.Life()).Long == 0 || h.blind.Load() || h.fleet.Off(policy.Truncation) {
+	if h.fleet.Occupancy(r.Instance()).Long == 0 || h.blind.Load() || h.fleet.Disabled(policy.Truncation) {
 		return false
 	}
 	for range tries {
-		h.fleet.Busy(r.Life(), time.Now().Add(busyGuard))
+		h.fleet.RecordBusy(r.Instance(), time.Now().Add(busyGuard))
 		h.told()
 		clock.Sleep(ctx, clearFor)
-		if load := h.fleet.Inflight(r.Life()); load.Inflight == load.Resumable {
+		if load := h.fleet.Occupancy(r.Instance()); load.Inflight == load.Resumable {
 			return load.Inflight > 0
 		}
 	}
@@ -322,12 +322,12 @@
 
 // await waits for the end of an order, asking the runner, and reports whether the
 // runner has its weights.
-func (h *Controller) await(ctx context.Context, r fleet.Runner, model string, desired int64) bool {
+func (h *Controller) await(ctx context.Context, r fleet.Target, model string, desired int64) bool {
 	began := time.Now()
-	h.fleet.Busy(r.Life(), began.Add(busyGuard))
+	h.fleet.RecordBusy(r.Instance(), began.Add(busyGuard))
 	h.told()
 	clock.Sleep(ctx, pollFirst)
-	for ctx.Err() == nil && time.Since(began) < longestOrder && h.fleet.Live(r.Life()) {
+	for ctx.Err() == nil && time.Since(began) < longestOrder && h.fleet.Available(r.Instance()) {
 		report, err := h.orderer.Report(ctx, r)
 		if err == nil && !h.reports(r, report) {
 			// The order ended with the life that took it; the load that the later
@@ -335,16 +335,16 @@
 			return false
 		}
 		if err == nil && report.Weights[model] >= desired {
-			h.fleet.Learn(r.Life(), model, desired, time.Now())
+			h.fleet.RecordWeights(r.Instance(), model, desired, time.Now())
 			h.told()
-			h.fleet.WeightsLoaded(r.Service, time.Since(began))
+			h.fleet.RecordWeightLoad(r.Service, time.Since(began))
 			h.event("loaded", r, model, desired).WithField("took_ms", time.Since(began).Milliseconds()).Info("the runner has its weights")
 			return true
 		}
 		if err == nil && !report.Busy {
 			return false
 		}
-		h.fleet.Busy(r.Life(), time.Now().Add(busyGuard))
+		h.fleet.RecordBusy(r.Instance(), time.Now().Add(busyGuard))
 		clock.Sleep(ctx, pollEvery)
 	}
 	return false
@@ -352,20 +352,20 @@
 
 // reports reports whether a report is of the life of a runner that was asked for.
 // A later one ends that life, and what it says is taken; a former one says nothing.
-func (h *Controller) reports(r fleet.Runner, report fleet.Report) bool {
-	life := fleet.Life{ID: r.ID, Born: report.Born}
-	if !h.fleet.Hear(life) {
+func (h *Controller) reports(r fleet.Target, report fleet.Status) bool {
+	life := fleet.Instance{ID: r.ID, Born: report.Born}
+	if !h.fleet.Observe(life) {
 		return false
 	}
-	if life.Same(r.Life()) {
+	if life.Matches(r.Instance()) {
 		return true
 	}
 	for model, version := range report.Weights {
-		h.fleet.Learn(life, model, version, time.Now())
+		h.fleet.RecordWeights(life, model, version, time.Now())
 	}
 	return false
 }
 
-func (h *Controller) event(name string, r fleet.Runner, model string, desired int64) *logrus.Entry {
+func (h *Controller) event(name string, r fleet.Target, model string, desired int64) *logrus.Entry {
 	return h.log.WithFields(logrus.Fields{"event": name, "runner": r.ID, "born": r.Born, "model": model, "weights": desired})
 }
--- a/rollout/holder_test.go
+++ b/rollout/holder_test.go
@@ -15,14 +15,14 @@
 	sent []fleet.Order
 }
 
-func (o *orders) Report(context.Context, fleet.Runner) (fleet.Report, error) {
+func (o *orders) Report(context.Context, fleet.Target) (fleet.Status, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	version := int64(1)
 	if len(o.sent) > 0 {
-		version = o.sent[len(o.sent)-1].Weights
+		version = o.sent[len(o.sent)-1].WeightsVersion
 	}
-	return fleet.Report{Weights: map[string]int64{"m": version}}, nil
+	return fleet.Status{Weights: map[string]int64{"m": version}}, nil
 }
 
 func (o *orders) Order(_ context.Context, order fleet.Order) (fleet.OrderResult, error) {
@@ -55,7 +55,7 @@
 // after that, the first order would come under a lower fence. It ends with the office.
 func TestAnOrderEndsWithTheOffice(t *testing.T) {
 	f := fleet.New("z")
-	r := fleet.Runner{ID: "r", Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
+	r := fleet.Target{ID: "r", Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
 	f.Put(r)
 	h := NewController("n", Config{Leadership: lapsing{}, Client: &held{}, Fleet: f, Notify: func() {}}, quiet())
 	// The test ends by its own time-out if the order does not.
@@ -64,13 +64,13 @@
 
 // bringOne brings one runner with the given requests at work to weights 2 and
 // returns the order that it got.
-func bringOne(t *testing.T, stays ...fleet.Stay) fleet.Order {
+func bringOne(t *testing.T, stays ...fleet.RequestLoad) fleet.Order {
 	t.Helper()
 	f := fleet.New("z")
-	r := fleet.Runner{ID: "r", Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
+	r := fleet.Target{ID: "r", Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
 	f.Put(r)
 	for _, s := range stays {
-		f.Begin(r.Life(), s, time.Now())
+		f.Begin(r.Instance(), s, time.Now())
 	}
 	o := &orders{}
 	h := NewController("n", Config{Leadership: always{}, Client: o, Fleet: f, Notify: func() {}}, quiet())
@@ -86,16 +86,16 @@
 // its last event; but never a run that can't, whose user would get half an
 // answer, and none where nothing long holds the runner up.
 func TestOnlyRunsThatGoOnElsewhereAreCutOff(t *testing.T) {
-	draft := fleet.Stay{Long: true, Resumable: true}
+	draft := fleet.RequestLoad{Long: true, Resumable: true}
 	for _, test := range []struct {
 		name  string
-		stays []fleet.Stay
+		stays []fleet.RequestLoad
 		want  bool
 	}{
-		{"drafts alone", []fleet.Stay{draft, draft}, true},
-		{"a draft beside a check that can't go on", []fleet.Stay{draft, {}}, false},
-		{"a draft at its last attempt", []fleet.Stay{{Long: true}}, false},
-		{"short runs", []fleet.Stay{{Resumable: true}}, false},
+		{"drafts alone", []fleet.RequestLoad{draft, draft}, true},
+		{"a draft beside a check that can't go on", []fleet.RequestLoad{draft, {}}, false},
+		{"a draft at its last attempt", []fleet.RequestLoad{{Long: true}}, false},
+		{"short runs", []fleet.RequestLoad{{Resumable: true}}, false},
 		{"nothing", nil, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/rollout/life_test.go
+++ b/rollout/life_test.go
@@ -14,12 +14,12 @@
 // last one again and again, and orders are noted.
 type lives struct {
 	mu      sync.Mutex
-	reports []fleet.Report
+	reports []fleet.Status
 	sent    []fleet.Order
 	result  fleet.OrderResult
 }
 
-func (l *lives) Report(context.Context, fleet.Runner) (fleet.Report, error) {
+func (l *lives) Report(context.Context, fleet.Target) (fleet.Status, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.reports[0]
@@ -37,8 +37,8 @@
 }
 
 // reported is a report of a life on weights 1, or on those given.
-func reported(born, orders int64, weights ...int64) fleet.Report {
-	return fleet.Report{Born: born, Orders: orders, Weights: map[string]int64{"m": append(slices.Clone(weights), 1)[0]}}
+func reported(born, orders int64, weights ...int64) fleet.Status {
+	return fleet.Status{Born: born, AcceptedOrders: orders, Weights: map[string]int64{"m": append(slices.Clone(weights), 1)[0]}}
 }
 
 // office runs something before it says that the seat is held.
@@ -52,9 +52,9 @@
 func (o office) Remaining() time.Duration { return time.Minute }
 
 // listed returns a view of one runner in the life that began at 10.
-func listed() (*fleet.Fleet, fleet.Runner) {
+func listed() (*fleet.Fleet, fleet.Target) {
 	f := fleet.New("z")
-	r := fleet.Runner{ID: "r", Born: 10, Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
+	r := fleet.Target{ID: "r", Born: 10, Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
 	f.Put(r)
 	return f, r
 }
@@ -71,10 +71,10 @@
 // refused at best, and at worst be carried out after newer ones.
 func TestNoOrderByTheCountOfAFormerLife(t *testing.T) {
 	f, r := listed()
-	o := &lives{reports: []fleet.Report{reported(10, 3)}, result: fleet.OrderAccepted}
-	holder(f, o, func() { f.Hear(fleet.Life{ID: "r", Born: 20}) }).bring(t.Context(), Turn{Runner: r}, "m", 2)
+	o := &lives{reports: []fleet.Status{reported(10, 3)}, result: fleet.OrderAccepted}
+	holder(f, o, func() { f.Observe(fleet.Instance{ID: "r", Born: 20}) }).bring(t.Context(), Turn{Runner: r}, "m", 2)
 	if len(o.sent) != 0 {
-		t.Errorf("an order left on the count of %d orders of a former life", o.sent[0].Orders)
+		t.Errorf("an order left on the count of %d orders of a former life", o.sent[0].ExpectedOrders)
 	}
 }
 
@@ -83,20 +83,20 @@
 // former one, late, nothing is taken, and no order rests on it.
 func TestAReportIsOfOneLife(t *testing.T) {
 	f, r := listed()
-	o := &lives{reports: []fleet.Report{reported(20, 0)}, result: fleet.OrderHolds}
+	o := &lives{reports: []fleet.Status{reported(20, 0)}, result: fleet.OrderAlreadyLoaded}
 	h := holder(f, o, func() {})
 	h.bring(t.Context(), Turn{Runner: r}, "m", 2)
-	if len(o.sent) != 0 || !f.Holds(fleet.Life{ID: "r", Born: 20}) {
+	if len(o.sent) != 0 || !f.IsCurrent(fleet.Instance{ID: "r", Born: 20}) {
 		t.Fatalf("%d orders before the new life was looked at", len(o.sent))
 	}
-	o.reports = []fleet.Report{reported(10, 7, 9)}
-	h.bring(t.Context(), Turn{Runner: f.Runners("lm")[0]}, "m", 2)
-	if v := f.Runners("lm")[0].Weights["m"]; len(o.sent) != 0 || v != 1 {
+	o.reports = []fleet.Status{reported(10, 7, 9)}
+	h.bring(t.Context(), Turn{Runner: f.Targets("lm")[0]}, "m", 2)
+	if v := f.Targets("lm")[0].Weights["m"]; len(o.sent) != 0 || v != 1 {
 		t.Errorf("a former life's report led to %d orders and weights %d", len(o.sent), v)
 	}
-	o.reports = []fleet.Report{reported(20, 0)}
-	h.bring(t.Context(), Turn{Runner: f.Runners("lm")[0]}, "m", 2)
-	if len(o.sent) != 1 || o.sent[0].Orders != 0 || o.sent[0].Runner.Born != 20 {
+	o.reports = []fleet.Status{reported(20, 0)}
+	h.bring(t.Context(), Turn{Runner: f.Targets("lm")[0]}, "m", 2)
+	if len(o.sent) != 1 || o.sent[0].ExpectedOrders != 0 || o.sent[0].Target.Born != 20 {
 		t.Errorf("sent %+v, want one order to the new life on no orders", o.sent)
 	}
 }
@@ -106,15 +106,15 @@
 // nor take the new life for loaded, but order anew, which it can at once.
 func TestAnOrderEndsWithItsLife(t *testing.T) {
 	f, r := listed()
-	f.Name("m", 2, time.Now(), false)
-	o := &lives{reports: []fleet.Report{reported(10, 3), reported(20, 0)}, result: fleet.OrderAccepted}
+	f.RecordDesired("m", 2, time.Now(), false)
+	o := &lives{reports: []fleet.Status{reported(10, 3), reported(20, 0)}, result: fleet.OrderAccepted}
 	h := holder(f, o, func() {})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	h.begin(ctx, Turn{Runner: r}, "m", 2)
-	now := f.Runners("lm")
+	now := f.Targets("lm")
 	// The report's start is taken first and its weights just after.
-	for end := time.Now().Add(10 * time.Second); (now[0].Born != 20 || now[0].Weights["m"] == 0) && time.Now().Before(end); now = f.Runners("lm") {
+	for end := time.Now().Add(10 * time.Second); (now[0].Born != 20 || now[0].Weights["m"] == 0) && time.Now().Before(end); now = f.Targets("lm") {
 		time.Sleep(time.Millisecond)
 	}
 	if v := now[0].Weights["m"]; v != 1 {
@@ -128,13 +128,13 @@
 // The answer to an order comes after its runner has started again. Taken for the
 // new life's, it says that this has weights that it never loaded, or takes it out.
 func TestALateAnswerToAnOrderChangesNothing(t *testing.T) {
-	for _, result := range []fleet.OrderResult{fleet.OrderHolds, fleet.OrderMisdirected} {
+	for _, result := range []fleet.OrderResult{fleet.OrderAlreadyLoaded, fleet.OrderMisdirected} {
 		f, r := listed()
-		o := &slow{lives: lives{reports: []fleet.Report{reported(10, 3)}, result: result}, meanwhile: func() {
-			f.Put(fleet.Runner{ID: "r", Born: 20, Service: "lm", Address: "r:1", Weights: map[string]int64{"m": 1}})
+		o := &slow{lives: lives{reports: []fleet.Status{reported(10, 3)}, result: result}, meanwhile: func() {
+			f.Put(fleet.Target{ID: "r", Born: 20, Service: "lm", Address: "r:1", Weights: map[string]int64{"m": 1}})
 		}}
 		NewController("n", Config{Leadership: always{}, Client: o, Fleet: f, Notify: func() {}}, quiet()).bring(t.Context(), Turn{Runner: r}, "m", 2)
-		if now := f.Runners("lm"); len(now) != 1 || now[0].Weights["m"] != 1 {
+		if now := f.Targets("lm"); len(now) != 1 || now[0].Weights["m"] != 1 {
 			t.Errorf("%s of a former life left %+v", result, now)
 		}
 	}
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -15,7 +15,7 @@
 type Input struct {
 	Model   string
 	Desired int64
-	Runners []fleet.Runner
+	Runners []fleet.Target
 	// Underway is for how long the orders that have not ended have been given, by id.
 	Underway map[string]time.Duration
 	// Inflight is how many requests each runner works on, by id, and Long those
@@ -58,7 +58,7 @@
 
 // Turn is what becomes of a runner that is behind.
 type Turn struct {
-	Runner fleet.Runner
+	Runner fleet.Target
 	Wait   Reason
 	// Short is set where its time is short.
 	Short bool
@@ -73,7 +73,7 @@
 	var turns []Turn
 	behind := in.behind()
 	d := in.deadlines(behind)
-	var due []fleet.Runner
+	var due []fleet.Target
 	for _, r := range behind {
 		if wait := d.wait(r); wait != None {
 			turns = append(turns, Turn{Runner: r, Wait: wait})
@@ -93,8 +93,8 @@
 	return turns
 }
 
-func (in Input) behind() []fleet.Runner {
-	var out []fleet.Runner
+func (in Input) behind() []fleet.Target {
+	var out []fleet.Target
 	for _, r := range in.Runners {
 		if r.Weights[in.Model] < in.Desired {
 			out = append(out, r)
@@ -104,7 +104,7 @@
 }
 
 // wait returns why a runner that is behind is not due.
-func (d deadlines) wait(r fleet.Runner) Reason {
+func (d deadlines) wait(r fleet.Target) Reason {
 	_, underway := d.Underway[r.ID]
 	switch {
 	case r.Draining:
@@ -117,7 +117,7 @@
 	return None
 }
 
-func (d deadlines) compare(a, b fleet.Runner) int {
+func (d deadlines) compare(a, b fleet.Target) int {
 	if d.short[a.ID] || d.short[b.ID] {
 		return cmp.Or(
 			cmp.Compare(d.left(a), d.left(b)),
@@ -126,7 +126,7 @@
 	return d.compareIdle(a, b)
 }
 
-func (d deadlines) compareIdle(a, b fleet.Runner) int {
+func (d deadlines) compareIdle(a, b fleet.Target) int {
 	return cmp.Or(
 		cmp.Compare(d.Long[a.ID], d.Long[b.ID]),
 		cmp.Compare(a.Weights[d.Model], b.Weights[d.Model]),
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -11,17 +11,17 @@
 	"acaciakeel/forecast"
 )
 
-func runnersAt(versions ...int64) []fleet.Runner {
-	out := make([]fleet.Runner, len(versions))
+func runnersAt(versions ...int64) []fleet.Target {
+	out := make([]fleet.Target, len(versions))
 	for i, v := range versions {
-		out[i] = fleet.Runner{ID: fmt.Sprintf("r%d", i), Weights: map[string]int64{"m": v}}
+		out[i] = fleet.Target{ID: fmt.Sprintf("r%d", i), Weights: map[string]int64{"m": v}}
 	}
 	return out
 }
 
 // ordered returns the runners that get an order now.
-func ordered(in Input) []fleet.Runner {
-	var out []fleet.Runner
+func ordered(in Input) []fleet.Target {
+	var out []fleet.Target
 	for _, t := range Turns(in) {
 		if t.Wait == None {
 			out = append(out, t.Runner)
@@ -57,7 +57,7 @@
 		{"more at once where few don't end in time", Input{Desired: 2, Runners: runnersAt(1, 1, 1, 1, 1, 1, 1, 1), Behind: sameFor(8, 2*time.Second), AtOnce: 1, Bound: 10 * time.Second, Each: 3 * time.Second}, "[r0 r1 r2 r3]"},
 		{"who gets nothing any more and has some waiting, at once", Input{Desired: 2, Runners: runnersAt(1, 1), Underway: map[string]time.Duration{"r0": 0}, Inflight: map[string]int{"r1": 2}, Behind: sameFor(2, 11*time.Second), AtOnce: 1, Bound: 10 * time.Second, Each: time.Second}, "[r1]"},
 		{"who gets nothing any more and is idle, in its turn", Input{Desired: 2, Runners: runnersAt(1, 1), Underway: map[string]time.Duration{"r0": 0}, Behind: sameFor(2, 11*time.Second), AtOnce: 1, Bound: 10 * time.Second, Each: time.Second}, "[]"},
-		{"those that leave are left alone", Input{Desired: 2, Runners: []fleet.Runner{{ID: "r0", Draining: true}}, AtOnce: 1}, "[]"},
+		{"those that leave are left alone", Input{Desired: 2, Runners: []fleet.Target{{ID: "r0", Draining: true}}, AtOnce: 1}, "[]"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.in.Model = "m"
@@ -105,7 +105,7 @@
 	})
 }
 
-func runnerOf(runners []fleet.Runner, id string) *fleet.Runner {
+func runnerOf(runners []fleet.Target, id string) *fleet.Target {
 	for i := range runners {
 		if runners[i].ID == id {
 			return &runners[i]
--- a/rollout/waiting.go
+++ b/rollout/waiting.go
@@ -37,7 +37,7 @@
 
 // waiter is a life of a runner that is behind in a model's weights.
 type waiter struct {
-	life  fleet.Life
+	life  fleet.Instance
 	model string
 }
 
@@ -58,7 +58,7 @@
 		if behind < saidFrom {
 			continue
 		}
-		key := waiter{t.Runner.Life(), in.Model}
+		key := waiter{t.Runner.Instance(), in.Model}
 		w.now[key] = t.Wait
 		if t.Wait == None || w.said[key] == t.Wait {
 			continue
--- a/router/describe.go
+++ b/router/describe.go
@@ -9,16 +9,16 @@
 func (s *session) describe(fields logrus.Fields) {
 	fields["service"] = s.in.service.Name
 	fields["sends"] = s.sends
-	fields["target"] = s.last.Runner.ID
+	fields["target"] = s.last.Target.ID
 	if s.in.Model != "" {
-		fields["weights"] = s.last.Weights
-		fields["cached"] = s.last.Cached
-		fields["shared"] = s.last.Shared
+		fields["weights"] = s.last.WeightsVersion
+		fields["cached"] = s.last.CachedTokens
+		fields["shared"] = s.last.SharedTokens
 		if levels := s.last.Chain.Levels; len(levels) > 0 {
 			// Requests with the same value share their prompt up to here.
 			fields["part"] = strconv.FormatUint(levels[len(levels)-1].Hash, 16)
 		}
-		fields["fetched"] = s.last.Fetched
+		fields["fetched"] = s.last.FetchTokens
 		fields["source"] = s.last.Source
 		fields["input"] = s.in.Input
 		fields["output"] = s.in.Output
@@ -32,7 +32,7 @@
 		fields["sent_ms"] = s.sentAt.Sub(s.in.Received).Milliseconds()
 	}
 	if s.replaced.sent > 0 || s.replaced.first > 0 {
-		fields["newest"] = s.router.fleet.Newest(s.in.Model)
+		fields["newest"] = s.router.fleet.DesiredVersion(s.in.Model)
 		fields["replaced_sent_ms"] = s.replaced.sent.Milliseconds()
 		fields["replaced_first_ms"] = s.replaced.first.Milliseconds()
 	}
@@ -42,7 +42,7 @@
 	if s.rest > 0 {
 		fields["rest_left_ms"] = s.rest.Milliseconds()
 	}
-	if limit := s.router.fleet.Limit(s.last.Runner.Life()); limit.Named {
+	if limit := s.router.fleet.Limit(s.last.Target.Instance()); limit.Declared {
 		fields["limit"] = limit.Rate
 	}
 	if !s.firstAt.IsZero() {
@@ -52,7 +52,7 @@
 }
 
 func (s *session) logRetry(out result) {
-	fields := logrus.Fields{"event": "retry", "request": s.in.ID, "reason": out.reason, "target": s.last.Runner.ID, "sends": s.sends, "weights": s.last.Weights}
+	fields := logrus.Fields{"event": "retry", "request": s.in.ID, "reason": out.reason, "target": s.last.Target.ID, "sends": s.sends, "weights": s.last.WeightsVersion}
 	message := "the target failed the request"
 	if out.refused != nil {
 		message = out.refused.Message
--- a/router/endings.go
+++ b/router/endings.go
@@ -26,11 +26,11 @@
 	mu sync.Mutex
 	// asked are the questions under way, by life: all requests that a target was
 	// serving break off at the same moment.
-	asked map[fleet.Life]chan struct{}
+	asked map[fleet.Instance]chan struct{}
 }
 
 func newEndings(s Sender, f *fleet.Fleet, t *poison.Table, log logrus.FieldLogger) *endings {
-	return &endings{sender: s, fleet: f, table: t, log: log, asked: map[fleet.Life]chan struct{}{}}
+	return &endings{sender: s, fleet: f, table: t, log: log, asked: map[fleet.Instance]chan struct{}{}}
 }
 
 // Figures of the questions.
@@ -44,8 +44,8 @@
 
 // ask asks whether a target has ended, once for all requests that ask at the same
 // time. What it returns is closed once the first answer is there.
-func (e *endings) ask(target fleet.Runner) <-chan struct{} {
-	life := target.Life()
+func (e *endings) ask(target fleet.Target) <-chan struct{} {
+	life := target.Instance()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if answered := e.asked[life]; answered != nil {
@@ -57,7 +57,7 @@
 	return answered
 }
 
-func (e *endings) pursue(target fleet.Runner, answered chan<- struct{}) {
+func (e *endings) pursue(target fleet.Target, answered chan<- struct{}) {
 	found := e.listens(target)
 	e.take(target, found)
 	close(answered)
@@ -67,23 +67,23 @@
 		e.take(target, found)
 	}
 	e.mu.Lock()
-	delete(e.asked, target.Life())
+	delete(e.asked, target.Instance())
 	e.mu.Unlock()
 	e.log.WithFields(logrus.Fields{"event": "target_asked", "target": target.ID, "born": target.Born, "address": target.Address, "presence": found}).Info("it broke an answer off")
 }
 
 // take takes what was found of a target. Of one that has ended nobody else has to find
 // that out by a request.
-func (e *endings) take(target fleet.Runner, found Presence) {
+func (e *endings) take(target fleet.Target, found Presence) {
 	if found != Absent {
 		return
 	}
 	now := time.Now()
-	e.fleet.Unreachable(target.Life(), now)
-	e.table.RecordCrash(target.Life(), now)
+	e.fleet.RecordUnreachable(target.Instance(), now)
+	e.table.RecordCrash(target.Instance(), now)
 }
 
-func (e *endings) listens(target fleet.Runner) Presence {
+func (e *endings) listens(target fleet.Target) Presence {
 	ctx, cancel := context.WithTimeout(context.Background(), askMost)
 	defer cancel()
 	return e.sender.Listens(ctx, target)
@@ -103,20 +103,20 @@
 // whether the target has ended where that cut the answer off. A request whose client
 // left, or whose time was over, just before may have ended the target all the same.
 func (s *session) brokeOff(choice fleet.Choice, err error) {
-	leaving := !s.router.fleet.Live(choice.Runner.Life())
+	leaving := !s.router.fleet.Available(choice.Target.Instance())
 	if !leaving {
-		s.router.poison.RecordBrokenResponse(s.in.suspicion(), choice.Runner.Life(), s.sentAt, time.Now())
+		s.router.poison.RecordBrokenResponse(s.in.suspicion(), choice.Target.Instance(), s.sentAt, time.Now())
 	}
 	if !byPeer(err) {
 		return
 	}
 	s.router.log.WithFields(logrus.Fields{
-		"event": "broke_off", "request": s.in.ID, "content": s.in.content.String(), "target": choice.Runner.ID, "born": choice.Runner.Born,
+		"event": "broke_off", "request": s.in.ID, "content": s.in.content.String(), "target": choice.Target.ID, "born": choice.Target.Born,
 		"leaving": leaving, "events": s.hasEvent,
 	}).Info("the target did not end its answer")
 	if !leaving {
 		// A planned end says nothing of what the target ran.
-		s.asked = s.router.endings.ask(choice.Runner)
+		s.asked = s.router.endings.ask(choice.Target)
 	}
 }
 
--- a/router/endings_test.go
+++ b/router/endings_test.go
@@ -25,7 +25,7 @@
 	asked atomic.Int32
 }
 
-func (l *listener) Listens(context.Context, fleet.Runner) Presence {
+func (l *listener) Listens(context.Context, fleet.Target) Presence {
 	n := int(l.asked.Add(1))
 	return l.says[min(n, len(l.says))-1]
 }
@@ -39,7 +39,7 @@
 	e := newEndings(says, fleet.New(""), poison.New(nil), log)
 	var wg sync.WaitGroup
 	for range 16 {
-		wg.Go(func() { <-e.ask(fleet.Runner{ID: "r", Born: 7}) })
+		wg.Go(func() { <-e.ask(fleet.Target{ID: "r", Born: 7}) })
 	}
 	wg.Wait()
 	time.Sleep(2 * askAgain)
--- a/router/outcome.go
+++ b/router/outcome.go
@@ -48,19 +48,19 @@
 	f := s.router.fleet
 	kind := refusal.QueueFull
 	switch {
-	case a.Moved && a.Instance != "" && a.Instance != choice.Runner.ID:
-		f.Ended(choice.Runner.Life())
+	case a.Moved && a.Instance != "" && a.Instance != choice.Target.ID:
+		f.RecordEnd(choice.Target.Instance())
 		kind = refusal.TargetNotReady
 	case a.Moved:
 		s.misjudged(choice, a)
 		kind = refusal.TargetNotReady
-	case choice.Weights < f.Newest(s.in.Model):
-		f.Busy(choice.Runner.Life(), now.Add(orderPause))
+	case choice.WeightsVersion < f.DesiredVersion(s.in.Model):
+		f.RecordBusy(choice.Target.Instance(), now.Add(orderPause))
 		kind = refusal.TargetNotReady
 	default:
-		f.Busy(choice.Runner.Life(), now.Add(fullPause))
+		f.RecordBusy(choice.Target.Instance(), now.Add(fullPause))
 	}
-	refused := refusal.New(kind, "come back after the time in Retry-After", "target %s did not take the request (status %d)", choice.Runner.ID, a.Status).WithRetryAfter(retryAfter)
+	refused := refusal.New(kind, "come back after the time in Retry-After", "target %s did not take the request (status %d)", choice.Target.ID, a.Status).WithRetryAfter(retryAfter)
 	return result{refused: refused, reason: retry.TargetUnavailable, again: true}, true
 }
 
@@ -70,10 +70,10 @@
 func (s *session) misjudged(choice fleet.Choice, a *Answer) {
 	f := s.router.fleet
 	if a.Weights == 0 {
-		f.Guess(choice.Runner.Life(), s.in.Model)
+		f.GuessWeights(choice.Target.Instance(), s.in.Model)
 		return
 	}
-	f.Learn(choice.Runner.Life(), s.in.Model, a.Weights, time.Now())
+	f.RecordWeights(choice.Target.Instance(), s.in.Model, a.Weights, time.Now())
 }
 
 // unanswered handles a send without an answer.
@@ -90,21 +90,21 @@
 	case sent, ctx.Err() != nil:
 		// A send that was cut by the end of the client's time leaves open whether
 		// the target can be reached.
-		s.router.fleet.Failed(choice.Runner.Life(), time.Now())
+		s.router.fleet.RecordFailure(choice.Target.Instance(), time.Now())
 	default:
-		s.router.fleet.Unreachable(choice.Runner.Life(), time.Now())
+		s.router.fleet.RecordUnreachable(choice.Target.Instance(), time.Now())
 	}
-	if !sent && s.router.poison.AwaitsEvidence(choice.Runner.Life()) {
-		s.router.endings.ask(choice.Runner)
+	if !sent && s.router.poison.AwaitsEvidence(choice.Target.Instance()) {
+		s.router.endings.ask(choice.Target)
 	}
 	if !sent {
-		s.ticket.Unsent()
-		refused := refusal.New(refusal.NoTarget, "come back after the time in Retry-After", "target %s can't be reached: %v", choice.Runner.ID, err).WithRetryAfter(retryAfter)
+		s.ticket.NotSent()
+		refused := refusal.New(refusal.NoTarget, "come back after the time in Retry-After", "target %s can't be reached: %v", choice.Target.ID, err).WithRetryAfter(retryAfter)
 		return result{refused: refused, reason: retry.Unreachable, again: true}
 	}
 	s.ran++
 	s.brokeOff(choice, err)
-	return s.lost(retry.Interrupted, "target %s did not answer: %v", choice.Runner.ID, err)
+	return s.lost(retry.Interrupted, "target %s did not answer: %v", choice.Target.ID, err)
 }
 
 // lost is the result of a send that may have run and has no answer to pass on.
@@ -127,14 +127,14 @@
 func (s *session) whole(choice fleet.Choice, a *Answer) result {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer+1))
 	if err != nil || len(body) > maxAnswer {
-		s.router.fleet.Failed(choice.Runner.Life(), time.Now())
+		s.router.fleet.RecordFailure(choice.Target.Instance(), time.Now())
 		s.brokeOff(choice, err)
-		return s.lost(retry.Interrupted, "the answer of target %s broke off: %v", choice.Runner.ID, err)
+		return s.lost(retry.Interrupted, "the answer of target %s broke off: %v", choice.Target.ID, err)
 	}
 	if a.Status >= 500 && s.in.route.Kind == catalog.Idempotent {
 		return result{reason: retry.Interrupted, again: s.repeatable(), answer: &held{a, body}}
 	}
-	s.router.fleet.Succeeded(choice.Runner.Life())
+	s.router.fleet.RecordSuccess(choice.Target.Instance())
 	if a.Status < 300 {
 		s.router.poison.RecordSuccess(s.in.content, time.Now())
 	}
--- a/router/overload.go
+++ b/router/overload.go
@@ -26,7 +26,7 @@
 func waitLimit(objective, reading time.Duration) time.Duration {
 	share := overloadFactor
 	if reading > 0 {
-		share = min(lightFactor, max(overloadFactor, overloadFactor*fleet.LightReading*objective.Seconds()/reading.Seconds()))
+		share = min(lightFactor, max(overloadFactor, overloadFactor*fleet.LightPrefillShare*objective.Seconds()/reading.Seconds()))
 	}
 	return time.Duration(share * float64(objective))
 }
@@ -34,12 +34,12 @@
 // overloaded refuses a request whose first token is expected too late, at once
 // and with the time until the backlog has shrunk.
 func (s *session) overloaded(choice fleet.Choice) *refusal.Error {
-	reading := choice.Reading
-	if s.router.fleet.Off(policy.LightWaitAllowance) {
+	reading := choice.PrefillTime
+	if s.router.fleet.Disabled(policy.LightWaitAllowance) {
 		reading = 0
 	}
 	limit := waitLimit(s.in.route.Objective, reading)
-	if s.ran > 0 || s.in.Model == "" || limit <= 0 || !choice.Known || s.router.fleet.Off(policy.WaitRefusal) || choice.Wait <= limit {
+	if s.ran > 0 || s.in.Model == "" || limit <= 0 || !choice.Reliable || s.router.fleet.Disabled(policy.WaitRefusal) || choice.Wait <= limit {
 		return nil
 	}
 	over := choice.Wait - limit
@@ -58,7 +58,7 @@
 		out.Outcome = refusal.Unknown
 		return out
 	}
-	if wait, ok := s.router.fleet.HeldBack(s.query(), time.Now()); ok {
+	if wait, ok := s.router.fleet.RetryAfter(s.query(), time.Now()); ok {
 		return s.heldBack(wait)
 	}
 	return refusal.New(refusal.NoTarget, "come back after the time in Retry-After",
@@ -66,9 +66,9 @@
 }
 
 // heldBack refuses a request whose targets want no more for now.
-func (s *session) heldBack(wait fleet.Wait) *refusal.Error {
+func (s *session) heldBack(wait fleet.RetryDelay) *refusal.Error {
 	kind, why := refusal.TargetsLimited, "get as many requests as they take"
-	if wait.Rest {
+	if wait.Backoff {
 		kind, why = refusal.TargetsBackingOff, "asked for rest"
 	}
 	return refusal.New(kind, "come back after the time in Retry-After",
--- a/router/recall.go
+++ b/router/recall.go
@@ -47,7 +47,7 @@
 	if r.begun {
 		return
 	}
-	left := r.within - r.fleet.BehindFor(r.choice.Model, r.choice.Weights, time.Now())
+	left := r.within - r.fleet.StaleFor(r.choice.Model, r.choice.WeightsVersion, time.Now())
 	if left > 0 {
 		r.timer = time.AfterFunc(left, r.look)
 		return
@@ -77,11 +77,11 @@
 func (s *session) takenBack(choice fleet.Choice) result {
 	f := s.router.fleet
 	s.router.log.WithFields(logrus.Fields{
-		"event": "taken_back", "request": s.in.ID, "target": choice.Runner.ID, "born": choice.Runner.Born, "weights": choice.Weights,
-		"newest": f.Newest(choice.Model), "replaced_ms": f.BehindFor(choice.Model, choice.Weights, time.Now()).Milliseconds(),
+		"event": "taken_back", "request": s.in.ID, "target": choice.Target.ID, "born": choice.Target.Born, "weights": choice.WeightsVersion,
+		"newest": f.DesiredVersion(choice.Model), "replaced_ms": f.StaleFor(choice.Model, choice.WeightsVersion, time.Now()).Milliseconds(),
 	}).Warn("the target had not begun it when the time of its weights ended")
 	refused := refusal.New(refusal.WeightsReplaced, "send again what may be repeated, or look the result up",
-		"target %s had not begun it when the time of its weights ended", choice.Runner.ID)
+		"target %s had not begun it when the time of its weights ended", choice.Target.ID)
 	refused.Outcome = refusal.Unknown
 	return result{refused: refused, reason: retry.WeightsReplaced, again: s.repeatable()}
 }
--- a/router/request.go
+++ b/router/request.go
@@ -53,7 +53,7 @@
 // Send is one attempt at one target.
 type Send struct {
 	Request  *Request
-	Runner   fleet.Runner
+	Runner   fleet.Target
 	Deadline time.Time
 	// Customer is the name that the target gets; empty on public routes.
 	Customer string
@@ -118,7 +118,7 @@
 	// Any error is a *SendError. The end of ctx takes the request back.
 	Send(ctx context.Context, s *Send) (*Answer, error)
 	// Listens asks whether anybody takes connections at a target's address.
-	Listens(ctx context.Context, target fleet.Runner) Presence
+	Listens(ctx context.Context, target fleet.Target) Presence
 }
 
 // Presence is what a target's address says of the process there.
--- a/router/router.go
+++ b/router/router.go
@@ -246,7 +246,7 @@
 
 // mayRetry takes one further send out of the budget and counts its reason.
 func (s *session) mayRetry(reason retry.Reason) bool {
-	if !s.router.budgets.take(s.in.service.Name, s.router.fleet.Sharers(), time.Now()) {
+	if !s.router.budgets.take(s.in.service.Name, s.router.fleet.ProcessCount(), time.Now()) {
 		s.router.metrics.exhausted.Inc()
 		return false
 	}
--- a/router/session.go
+++ b/router/session.go
@@ -24,7 +24,7 @@
 	// sends counts sends, ran those that may have run.
 	sends int
 	ran   int
-	tried []fleet.Life
+	tried []fleet.Instance
 	begun bool
 	// status is what the client was answered with; 0 before.
 	status int
@@ -32,7 +32,7 @@
 	lastEvent int64
 	hasEvent  bool
 	last      fleet.Choice
-	ticket    *fleet.Ticket
+	ticket    *fleet.ActiveRequest
 	// waits takes the last send back if it waits for too long to begin.
 	waits   *recall
 	firstAt time.Time
@@ -118,17 +118,17 @@
 	q := fleet.Query{
 		Service:       in.service.Name,
 		Tried:         s.tried,
-		OldWeightsFor: s.router.bounds.OldWeights,
-		Weights:       cacheWeights,
-		Alone:         s.judged.Status == poison.Suspect,
-		AtAnyRate:     s.judged.Crashes > 1,
-		Apart:         s.judged.Avoid,
+		MaxStaleness:  s.router.bounds.OldWeights,
+		CostWeights:   cacheWeights,
+		Isolate:       s.judged.Status == poison.Suspect,
+		AlwaysIsolate: s.judged.Crashes > 1,
+		Avoid:         s.judged.Avoid,
 	}
 	if in.service.Engine != nil && in.Model != "" {
 		q.Model = in.Model
 		q.TokenBytes = in.service.Engine.TokenBytes
 		q.Capacity = in.service.Engine.CapacityTokens
-		q.Input, q.Output, q.Objective = in.Input, in.Output, in.route.Objective
+		q.InputTokens, q.MaxOutputTokens, q.Objective = in.Input, in.Output, in.route.Objective
 		q.Chain = func(weights int64) prefix.Chain { return in.chain(in.salt(weights)) }
 	}
 	return q
@@ -141,15 +141,15 @@
 	s.sends++
 	s.charge.SetExecutions(s.ran + 1)
 	s.last = choice
-	s.tried = append(s.tried, choice.Runner.Life())
+	s.tried = append(s.tried, choice.Target.Instance())
 	f := s.router.fleet
 	s.sentAt = time.Now()
-	s.leaving = f.LeavingFor(choice.Runner.Life(), s.sentAt)
-	s.rest = f.RestLeft(choice.Runner.Life(), s.sentAt)
-	s.replaced.sent, s.replaced.first = f.BehindFor(s.in.Model, choice.Weights, s.sentAt), 0
-	s.ticket = f.Begin(choice.Runner.Life(), s.stay(choice), s.sentAt)
+	s.leaving = f.ShuttingDownFor(choice.Target.Instance(), s.sentAt)
+	s.rest = f.RemainingBackoff(choice.Target.Instance(), s.sentAt)
+	s.replaced.sent, s.replaced.first = f.StaleFor(s.in.Model, choice.WeightsVersion, s.sentAt), 0
+	s.ticket = f.Begin(choice.Target.Instance(), s.stay(choice), s.sentAt)
 	defer s.ticket.End()
-	s.here.SentTo(choice.Runner.Life())
+	s.here.SentTo(choice.Target.Instance())
 	defer s.here.LeftTarget()
 	s.waits = s.recall(choice, cancel)
 	defer s.waits.end()
@@ -164,15 +164,15 @@
 	}
 	s.ran++
 	if answer.Own {
-		f.Took(choice.Runner.Life(), s.sentAt)
+		f.RecordAccepted(choice.Target.Instance(), s.sentAt)
 	}
 	if !answer.Own || answer.Status < http.StatusOK || (answer.Status < 300 && (!answer.Sealed || answer.Encoded)) {
-		f.Failed(choice.Runner.Life(), time.Now())
-		return s.lost(retry.Interrupted, "the target %s sent bytes that are not its answer to this request", choice.Runner.ID)
+		f.RecordFailure(choice.Target.Instance(), time.Now())
+		return s.lost(retry.Interrupted, "the target %s sent bytes that are not its answer to this request", choice.Target.ID)
 	}
 	if s.begun && answer.Status >= 300 {
 		// The client has the head and the first events of another answer.
-		return s.lost(retry.Continued, "target %s answered %d in place of the rest of a stream", choice.Runner.ID, answer.Status)
+		return s.lost(retry.Continued, "target %s answered %d in place of the rest of a stream", choice.Target.ID, answer.Status)
 	}
 	if s.in.route.Kind == catalog.Stream && answer.Status < 300 {
 		return s.stream(choice, answer)
@@ -201,16 +201,16 @@
 	return context.WithTimeout(ctx, max(patienceFactor*r.Objective, minPatience))
 }
 
-func (s *session) stay(choice fleet.Choice) fleet.Stay {
-	return fleet.Stay{
-		Missing:  max(0, s.in.Input-choice.Cached-choice.Fetched),
-		Moved:    choice.Moved,
-		Prompt:   s.in.Input,
-		Output:   s.in.Output,
-		Chain:    choice.Chain,
-		Capacity: s.capacity(),
-		Long:     choice.Long,
-		Held:     fleet.HeldTokens(s.in.Input, choice.Cached, s.in.Output),
+func (s *session) stay(choice fleet.Choice) fleet.RequestLoad {
+	return fleet.RequestLoad{
+		UncachedTokens:  max(0, s.in.Input-choice.CachedTokens-choice.FetchTokens),
+		Transfer:        choice.Transfer,
+		PromptTokens:    s.in.Input,
+		MaxOutputTokens: s.in.Output,
+		Chain:           choice.Chain,
+		Capacity:        s.capacity(),
+		Long:            choice.Long,
+		HeldTokens:      fleet.EstimateHeldTokens(s.in.Input, choice.CachedTokens, s.in.Output),
 		// The send that begins now counts as one that may have run.
 		Resumable: s.in.route.Repeatable() && s.ran+1 < s.in.route.Attempts && s.sends < retry.MaxAttempts,
 	}
@@ -226,10 +226,10 @@
 
 func (s *session) newSend(choice fleet.Choice) *Send {
 	in := s.in
-	send := &Send{Request: in.Request, Runner: choice.Runner, Deadline: in.limit, Customer: in.customerName(), Priority: -1, Weights: choice.Weights, After: s.after()}
+	send := &Send{Request: in.Request, Runner: choice.Target, Deadline: in.limit, Customer: in.customerName(), Priority: -1, Weights: choice.WeightsVersion, After: s.after()}
 	if in.Model != "" {
 		send.Priority = in.priority()
-		send.Salt = in.salt(choice.Weights)
+		send.Salt = in.salt(choice.WeightsVersion)
 		send.FetchFrom = choice.Source
 		send.SaveTo = choice.SaveTo
 	}
@@ -240,12 +240,12 @@
 func (s *session) learn(choice fleet.Choice, a *Answer) {
 	f := s.router.fleet
 	if a.HasLoad {
-		f.Loaded(choice.Runner.Life(), a.Load, time.Now())
+		f.RecordLoad(choice.Target.Instance(), a.Load, time.Now())
 	}
 	if a.Own {
 		s.notice(choice, a.Notice)
 	}
 	if s.in.Model != "" && a.Own {
-		f.Learn(choice.Runner.Life(), s.in.Model, a.Weights, time.Now())
+		f.RecordWeights(choice.Target.Instance(), s.in.Model, a.Weights, time.Now())
 	}
 }
--- a/router/stream.go
+++ b/router/stream.go
@@ -39,13 +39,13 @@
 			return s.takenBack(choice)
 		}
 		if err != nil {
-			s.router.fleet.Failed(choice.Runner.Life(), time.Now())
+			s.router.fleet.RecordFailure(choice.Target.Instance(), time.Now())
 			s.brokeOff(choice, err)
 			reason := retry.Interrupted
 			if s.begun {
 				reason = retry.Continued
 			}
-			return s.lost(reason, "the stream of target %s broke off: %v", choice.Runner.ID, err)
+			return s.lost(reason, "the stream of target %s broke off: %v", choice.Target.ID, err)
 		}
 		s.waits.end()
 		s.arrived(time.Now())
@@ -64,12 +64,12 @@
 		s.pause = max(s.pause, now.Sub(s.lastAt))
 	}
 	s.lastAt = now
-	s.ticket.First(now)
+	s.ticket.FirstEvent(now)
 }
 
 // began notes on how old weights a run began.
 func (s *session) began(now time.Time) {
-	s.replaced.first = s.router.fleet.BehindFor(s.in.Model, s.last.Weights, now)
+	s.replaced.first = s.router.fleet.StaleFor(s.in.Model, s.last.WeightsVersion, now)
 	if s.replaced.first > 0 {
 		s.router.metrics.replaced.Observe(s.replaced.first.Seconds())
 	}
@@ -78,7 +78,7 @@
 // ended passes the end of a stream on. What follows the last whole event is
 // the target's own and goes along.
 func (s *session) ended(choice fleet.Choice, a *Answer, rest []byte) result {
-	s.router.fleet.Succeeded(choice.Runner.Life())
+	s.router.fleet.RecordSuccess(choice.Target.Instance())
 	s.ticket.Complete(time.Now())
 	s.router.poison.RecordSuccess(s.in.content, time.Now())
 	if !s.begun || len(rest) > 0 {
--- a/router/suspects.go
+++ b/router/suspects.go
@@ -19,7 +19,7 @@
 // nineteen targets the requests of others on each of them were lost. The content stays
 // the same.
 func (s *session) judge(now time.Time) *refusal.Error {
-	if s.router.fleet.Off(policy.PoisonDetection) {
+	if s.router.fleet.Disabled(policy.PoisonDetection) {
 		return nil
 	}
 	j := s.router.poison.Evaluate(s.in.content, now)
