--- a/entry/session.go
+++ b/entry/session.go
@@ -151,8 +151,8 @@
 	switch {
 	case sent > 0:
 		return retry.Continued
-	case r.Kind == refusal.NotReady || r.Kind == refusal.Stopping:
-		return retry.TargetAway
+	case r.Kind == refusal.TargetNotReady || r.Kind == refusal.Stopping:
+		return retry.TargetUnavailable
 	case r.Outcome == refusal.NotRun:
 		return retry.Unreachable
 	}
@@ -246,7 +246,7 @@
 		id:     s.eventID(s.assembler.Offset()),
 		finish: &stream.Finish{
 			Reason:           f.Reason,
-			PromptTokens:     prefix.Tokens(len(s.plan.prompt.Text)),
+			PromptTokens:     prefix.TokenCount(len(s.plan.prompt.Text)),
 			CachedTokens:     int(f.CachedTokens),
 			CompletionTokens: s.assembler.Offset(),
 			WeightsVersion:   f.WeightsVersion,
--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -17,27 +17,27 @@
 	// Model is empty for plain requests; Chain is nil then.
 	Model string
 	Chain func(weights int64) prefix.Chain
-	// Input is the number of prompt tokens, Output the most that may be generated.
-	Input  int
-	Output int
+	// InputTokens is the number of prompt tokens, Output the most that may be generated.
+	InputTokens     int
+	MaxOutputTokens int
 	// Objective is the time to the first token that is asked for.
 	Objective time.Duration
 	// Tried are lives of targets that must not be chosen again; a later one may.
-	Tried []Life
+	Tried []Instance
 	// Capacity is a target's memory for runs and cached parts, in tokens; 0 is unknown.
 	Capacity int
 	// TokenBytes is the size of one token's KV cache.
 	TokenBytes int
-	// OldWeightsFor is for how long after newer weights were named runners
+	// MaxStaleness is for how long after newer weights were named runners
 	// with older ones may begin requests.
-	OldWeightsFor time.Duration
-	Weights       placement.Weights
-	// Alone asks for the target at which the fewest others run, and Apart are targets
+	MaxStaleness time.Duration
+	CostWeights  placement.CostWeights
+	// Isolate asks for the target at which the fewest others run, and Apart are targets
 	// to be left out if any other may be used. AtAnyRate asks for that also where all
 	// targets are among those.
-	Alone     bool
-	AtAnyRate bool
-	Apart     []Life
+	Isolate       bool
+	AlwaysIsolate bool
+	Avoid         []Instance
 
 	long  bool
 	light bool
@@ -45,31 +45,31 @@
 
 // Choice is a target for one request.
 type Choice struct {
-	Runner Runner
+	Target Target
 	Model  string
-	// Weights is the version that the runner is believed to have; 0 for plain requests.
-	Weights int64
-	Chain   prefix.Chain
-	// Shared is how many prompt tokens other requests have in common with it.
-	Shared int
-	// Cached is how many prompt tokens are believed to need no prefill there.
-	Cached int
+	// WeightsVersion is the version that the runner is believed to have; 0 for plain requests.
+	WeightsVersion int64
+	Chain          prefix.Chain
+	// SharedTokens is how many prompt tokens other requests have in common with it.
+	SharedTokens int
+	// CachedTokens is how many prompt tokens are believed to need no prefill there.
+	CachedTokens int
 	// Wait is the expected wait before the request begins, FirstToken that to
 	// its first token.
 	Wait       time.Duration
 	FirstToken time.Duration
-	// Reading is the time that its runner takes to read what it lacks.
-	Reading time.Duration
-	// Known is set where FirstToken rests on enough that was observed for a
+	// PrefillTime is the time that its runner takes to read what it lacks.
+	PrefillTime time.Duration
+	// Reliable is set where FirstToken rests on enough that was observed for a
 	// request to be refused by it.
-	Known bool
+	Reliable bool
 	// Source is the address of another runner or store for the chosen one to fetch
 	// parts from; empty where there is none. Fetched is how many tokens more it is
 	// believed to hold, 0 where it is asked on the chance, and Moved what that
 	// takes.
-	Source  string
-	Fetched int
-	Moved   forecast.Moved
+	Source      string
+	FetchTokens int
+	Transfer    forecast.KVTransfer
 	// Long is set for requests that are expected to hold a slot for longer than a
 	// load of weights takes.
 	Long bool
@@ -111,12 +111,12 @@
 		s := f.states[r.Name]
 		return s.rest.left(now) == 0 && f.open(s, now) && f.usable(q, s, now)
 	}
-	indices := placement.Apply(g.placed, nil, placement.Staying, placement.Except(f.present(q.Tried)), usable)
+	indices := placement.Apply(g.placed, nil, placement.NotDraining, placement.Except(f.present(q.Tried)), usable)
 	if len(indices) == 0 {
 		return Choice{}, false
 	}
 	indices = answering(g, indices)
-	if q.Alone && !f.off[policy.Alone] {
+	if q.Isolate && !f.off[policy.SuspectIsolation] {
 		if c, ok := f.chooseAlone(q, g, indices, now); ok {
 			return c, true
 		}
@@ -126,7 +126,7 @@
 	}
 	q.long, q.light = f.long(q), f.light(q, now)
 	if q.long {
-		f.engine(q.Service).BroughtLong(now)
+		f.engine(q.Service).ObserveLongRun(now)
 	}
 	if q.long && !f.off[policy.Packing] {
 		if s := f.chooseDense(q, g, indices, now); s != nil {
@@ -154,7 +154,7 @@
 // usable reports whether a target may be asked. A dead one may now and then: then it has
 // to be, as the next time comes later.
 func (f *Fleet) usable(q Query, s *state, now time.Time) bool {
-	return f.fits(q, s, now) && (s.health.State(now) != health.Dead || s.health.Usable(now))
+	return f.fits(q, s, now) && (s.health.State(now) != health.Dead || s.health.AllowRequest(now))
 }
 
 // healthy reports whether a target may be asked that is not dead.
@@ -167,7 +167,7 @@
 	if q.Model == "" {
 		return true
 	}
-	return f.named[q.Model].behindFor(s.version(q.Model), now) <= q.OldWeightsFor && !now.Before(s.busyUntil)
+	return f.named[q.Model].behindFor(s.version(q.Model), now) <= q.MaxStaleness && !now.Before(s.busyUntil)
 }
 
 // chooseIdle picks the target with the least expected wait.
@@ -181,7 +181,7 @@
 			best, bestCost = s, cost
 		}
 	}
-	return Choice{Runner: best.runner, Wait: f.queueWait(best, now)}
+	return Choice{Target: best.runner, Wait: f.queueWait(best, now)}
 }
 
 // chooseAlone picks the target at which the fewest requests run, for a request that may
@@ -191,10 +191,10 @@
 // at any rate: when a dozen targets end together, hundreds are suspect for a moment, and
 // prompts read anew for each would cost the others more.
 func (f *Fleet) chooseAlone(q Query, g *group, indices []int32, now time.Time) (c Choice, ok bool) {
-	apart := placement.Except(f.present(q.Apart))
+	apart := placement.Except(f.present(q.Avoid))
 	rest := slices.DeleteFunc(slices.Clone(indices), func(i int32) bool { return !apart(&g.placed[i]) })
 	if len(rest) == 0 {
-		if !q.AtAnyRate {
+		if !q.AlwaysIsolate {
 			return Choice{}, false
 		}
 		rest = indices
@@ -220,20 +220,20 @@
 func (f *Fleet) chooseCached(q Query, g *group, indices []int32, now time.Time) Choice {
 	newest := f.named[q.Model].newest()
 	chain := q.Chain(newest)
-	var o placement.Orderer
-	order := o.Order(g.placed, indices, chain.Levels, nil, min(f.compared(q, len(indices), now), len(indices)))
-	answers := make([]placement.Answer, len(order))
+	var o placement.Ranker
+	order := o.Rank(g.placed, indices, chain.Levels, nil, min(f.compared(q, len(indices), now), len(indices)))
+	answers := make([]placement.Estimate, len(order))
 	fetches := make([]fetch, len(order))
 	chains := map[int64]prefix.Chain{newest: chain}
 	holdings := map[int64]holding{}
 	kept := f.keptLight(q, g, indices, now)
 	e := f.engine(q.Service)
-	heavy := e.Mix(now).HeavyReading()
+	heavy := e.OfferedLoad(now).MeanHeavyPrefill()
 	first := true
 	for i, at := range order {
 		s := g.states[at]
 		answers[i], fetches[i] = f.answer(q, s, chains, f.holding(holdings, q, g, order, s, chains, now), now)
-		reading := e.Reading(chain.Tokens-answers[i].CachedTokens, chain.Tokens, now)
+		reading := e.PrefillTime(chain.Tokens-answers[i].CachedTokens, chain.Tokens, now)
 		answers[i].PenaltySeconds += apart(q, kept, at, reading, heavy).Seconds()
 		if first && s.sum(now).Long == 0 && (len(kept) == 0 || kept[at] == q.light) {
 			// Every process sends a prefix to the first in its order that has no
@@ -242,20 +242,20 @@
 			first = false
 		}
 	}
-	best := placement.Pick(answers, chain.Tokens, q.Weights)
+	best := placement.Pick(answers, chain.Tokens, q.CostWeights)
 	c := f.choice(q, g.states[order[best]], chains, fetches[best], now)
 	f.expect(&c, q, answers[best], chain.Tokens, now)
 	return c
 }
 
 // expect fills in what is expected of a choice by its target's answer.
-func (f *Fleet) expect(c *Choice, q Query, a placement.Answer, tokens int, now time.Time) {
+func (f *Fleet) expect(c *Choice, q Query, a placement.Estimate, tokens int, now time.Time) {
 	e := f.engine(q.Service)
 	c.Wait = time.Duration(a.WaitSeconds * float64(time.Second))
-	c.FirstToken = e.Fixed(now) + time.Duration(placement.FirstToken(a, tokens)*float64(time.Second))
-	c.Reading = e.Reading(max(0, tokens-a.CachedTokens), tokens, now)
-	c.Known = e.Known()
-	e.Brought(c.Reading, q.light, now)
+	c.FirstToken = e.BaseLatency(now) + time.Duration(placement.TimeToFirstToken(a, tokens)*float64(time.Second))
+	c.PrefillTime = e.PrefillTime(max(0, tokens-a.CachedTokens), tokens, now)
+	c.Reliable = e.HasEnoughSamples()
+	e.ObserveArrival(c.PrefillTime, q.light, now)
 }
 
 // holding returns where a prompt's parts under a runner's weights are, worked out
@@ -274,11 +274,11 @@
 // worked out before, by weights.
 func (f *Fleet) choice(q Query, s *state, chains map[int64]prefix.Chain, from fetch, now time.Time) Choice {
 	weights := s.version(q.Model)
-	c := Choice{Runner: s.runner, Model: q.Model, Weights: weights, Chain: q.chainOf(chains, weights), Long: q.long}
-	c.Shared = sharedTokens(c.Chain)
-	c.Cached = s.cache.tokens(c.Chain)
-	c.Source, c.Fetched, c.Moved = from.source, from.tokens, from.moved
-	if c.Source == "" && c.Shared >= movedLeast && c.Cached < c.Shared {
+	c := Choice{Target: s.runner, Model: q.Model, WeightsVersion: weights, Chain: q.chainOf(chains, weights), Long: q.long}
+	c.SharedTokens = sharedTokens(c.Chain)
+	c.CachedTokens = s.cache.tokens(c.Chain)
+	c.Source, c.FetchTokens, c.Transfer = from.source, from.tokens, from.moved
+	if c.Source == "" && c.SharedTokens >= movedLeast && c.CachedTokens < c.SharedTokens {
 		// Nobody is known to hold more; another process may just have had the prompt
 		// read and kept. A miss costs a millisecond.
 		c.Source, _ = f.storeOf(c.Chain.Levels[len(c.Chain.Levels)-1].Hash)
@@ -298,34 +298,34 @@
 
 // answer returns what is expected of a prompt at a runner, with the transfer that
 // it would begin with.
-func (f *Fleet) answer(q Query, s *state, chains map[int64]prefix.Chain, h holding, now time.Time) (placement.Answer, fetch) {
+func (f *Fleet) answer(q Query, s *state, chains map[int64]prefix.Chain, h holding, now time.Time) (placement.Estimate, fetch) {
 	weights := s.version(q.Model)
 	chain := q.chainOf(chains, weights)
 	cached := s.cache.tokens(chain)
 	e := f.engine(q.Service)
 	var from fetch
-	if !f.off[policy.Fetching] {
+	if !f.off[policy.CacheFetching] {
 		from = f.bestFetch(h, e, s, cached, chain.Tokens, now)
 	}
-	a := placement.Answer{
+	a := placement.Estimate{
 		Ready:          true,
 		CachedTokens:   cached + from.tokens,
 		PenaltySeconds: s.health.Penalty(now).Seconds(),
-		LinkSeconds:    f.linkCost(s).Seconds(),
+		NetworkSeconds: f.linkCost(s).Seconds(),
 	}
-	if from.moved.Runner == 0 {
-		a.LinkSeconds += f.farFetch(q, chain, s, cached).Seconds()
+	if from.moved.FromRunner == 0 {
+		a.NetworkSeconds += f.farFetch(q, chain, s, cached).Seconds()
 	}
-	a.LinkSeconds += displaced * e.Backlog(from.tokens, now).Seconds()
+	a.NetworkSeconds += displaced * e.BacklogTime(from.tokens, now).Seconds()
 	if missing := chain.Tokens - a.CachedTokens; missing > 0 {
-		a.PrefillRate = float64(missing) / e.Reading(missing, chain.Tokens, now).Seconds()
+		a.PrefillRate = float64(missing) / e.PrefillTime(missing, chain.Tokens, now).Seconds()
 	}
 	total := s.sum(now)
-	a.WaitSeconds = (e.Moving(from.moved, now) + e.Backlog(total.Prefill, now) + f.queueWait(s, now)).Seconds()
+	a.WaitSeconds = (e.TransferTime(from.moved, now) + e.BacklogTime(total.PrefillTokens, now) + f.queueWait(s, now)).Seconds()
 	if f.named[q.Model].behindFor(weights, now) > oldWeightsGrace {
 		a.PenaltySeconds += oldWeightsCost.Seconds()
 	}
-	a.WaitSeconds += f.memoryWait(q, total, HeldTokens(q.Input, cached, q.Output), now).Seconds()
+	a.WaitSeconds += f.memoryWait(q, total, EstimateHeldTokens(q.InputTokens, cached, q.MaxOutputTokens), now).Seconds()
 	if !q.long {
 		beside := time.Duration(total.Long) * besideLong
 		a.PenaltySeconds += min(beside, besideMost).Seconds()
--- a/fleet/dense.go
+++ b/fleet/dense.go
@@ -57,12 +57,12 @@
 	if len(indices) == 0 {
 		return nil
 	}
-	var o placement.Orderer
+	var o placement.Ranker
 	weights := g.states[indices[0]].version(q.Model)
 	hash := prefix.NameHash(q.Model + " " + strconv.FormatInt(weights, 10))
 	level := []prefix.Boundary{{Hash: hash}}
 	var begun, empty []roomy
-	for _, i := range o.Order(g.placed, indices, level, nil, len(indices)) {
+	for _, i := range o.Rank(g.placed, indices, level, nil, len(indices)) {
 		s := g.states[i]
 		full := math.Floor(denseShare * float64(s.runner.Slots))
 		if !f.packable(q, full, now) {
@@ -85,7 +85,7 @@
 // that one is sent to: as many as come unseen, or one of each process, before it is
 // known how many come.
 func (f *Fleet) roomNeeded(q Query, now time.Time) float64 {
-	unseen := f.engine(q.Service).Mix(now).Longs * f.unseenFor().Seconds()
+	unseen := f.engine(q.Service).OfferedLoad(now).LongRate * f.unseenFor().Seconds()
 	return max(float64(f.members.count()), 1+unseenSpread*unseen)
 }
 
--- a/fleet/light.go
+++ b/fleet/light.go
@@ -10,9 +10,9 @@
 	"acaciakeel/prefix"
 )
 
-// LightReading is the part of its objective up to which reading its whole prompt
+// LightPrefillShare is the part of its objective up to which reading its whole prompt
 // makes a request light: ten of them together still begin in time.
-const LightReading = 0.1
+const LightPrefillShare = 0.1
 
 // lightBusy is the part of their time for which runners kept for light requests
 // read: a light request then seldom waits for others, none of which takes long.
@@ -21,8 +21,8 @@
 // light reports whether a request takes little to read, however little of it is
 // cached.
 func (f *Fleet) light(q Query, now time.Time) bool {
-	whole := f.engine(q.Service).Reading(q.Input, q.Input, now)
-	return q.Objective > 0 && whole.Seconds() < LightReading*q.Objective.Seconds()
+	whole := f.engine(q.Service).PrefillTime(q.InputTokens, q.InputTokens, now)
+	return q.Objective > 0 && whole.Seconds() < LightPrefillShare*q.Objective.Seconds()
 }
 
 // keptLight returns which of the runners at indices are kept for light requests,
@@ -33,10 +33,10 @@
 // requests keep half busy; where that is half of them or more, or nothing heavy
 // comes, none are kept apart.
 func (f *Fleet) keptLight(q Query, g *group, indices []int32, now time.Time) map[int32]bool {
-	if f.off[policy.Apart] {
+	if f.off[policy.ReserveForLight] {
 		return nil
 	}
-	mix := f.engine(q.Service).Mix(now)
+	mix := f.engine(q.Service).OfferedLoad(now)
 	need := int(math.Ceil(mix.Light / lightBusy))
 	if need == 0 || mix.Heavy <= mix.Light || 2*need > len(indices) {
 		return nil
@@ -44,8 +44,8 @@
 	newest := f.named[q.Model].newest()
 	level := []prefix.Boundary{{Hash: prefix.NameHash(q.Model + " light " + strconv.FormatInt(newest, 10))}}
 	kept := make(map[int32]bool, need)
-	var o placement.Orderer
-	order := o.Order(g.placed, indices, level, nil, len(indices))
+	var o placement.Ranker
+	order := o.Rank(g.placed, indices, level, nil, len(indices))
 	for _, current := range []bool{true, false} {
 		for _, i := range order {
 			if len(kept) < need && (g.states[i].version(q.Model) >= newest) == current {
--- a/fleet/store.go
+++ b/fleet/store.go
@@ -27,8 +27,8 @@
 	by string
 }
 
-// KeptStore is a store of kept KV cache.
-type KeptStore struct {
+// KVCacheStore is a store of kept KV cache.
+type KVCacheStore struct {
 	Address string
 	// Capacity is its room in tokens.
 	Capacity int
@@ -37,7 +37,7 @@
 }
 
 // SetStores says which stores of kept KV cache there are.
-func (f *Fleet) SetStores(stores []KeptStore) {
+func (f *Fleet) SetStores(stores []KVCacheStore) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	next := map[string]*keptStore{}
@@ -64,7 +64,7 @@
 // "" where they are there already or on their way. By is the target that sends
 // them.
 func (f *Fleet) saveTo(chain prefix.Chain, by string, now time.Time) string {
-	if sharedTokens(chain) < movedLeast || f.off[policy.Saving] {
+	if sharedTokens(chain) < movedLeast || f.off[policy.CacheSaving] {
 		return ""
 	}
 	deepest := chain.Levels[len(chain.Levels)-1].Hash
@@ -110,8 +110,8 @@
 	return out
 }
 
-// HeardSaves takes what another process had sent to stores.
-func (f *Fleet) HeardSaves(all []Saves, now time.Time) {
+// MergeSaves takes what another process had sent to stores.
+func (f *Fleet) MergeSaves(all []Saves, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range all {
@@ -131,7 +131,7 @@
 // zone: such a transfer takes twice as long, and all runners share that link.
 func (f *Fleet) farFetch(q Query, chain prefix.Chain, s *state, cached int) time.Duration {
 	lacks := sharedTokens(chain) - cached
-	if lacks <= 0 || f.off[policy.FarLinks] {
+	if lacks <= 0 || f.off[policy.CrossDataCentreLinks] {
 		return 0
 	}
 	_, k := f.storeOf(chain.Levels[len(chain.Levels)-1].Hash)
@@ -150,7 +150,7 @@
 		if k.silent {
 			continue
 		}
-		if s := prefix.Score(prefix.NameHash(address), part); best == "" || s > score {
+		if s := prefix.RendezvousScore(prefix.NameHash(address), part); best == "" || s > score {
 			best, score = address, s
 		}
 	}
--- a/fleet/unseen.go
+++ b/fleet/unseen.go
@@ -58,10 +58,10 @@
 // decisions as are unseen spread over all of them: then each meets one of the
 // others about twice, and the order, which differs with each prompt, does the rest.
 func (f *Fleet) compared(q Query, n int, now time.Time) int {
-	if f.off[policy.FewCompared] {
+	if f.off[policy.CandidateSampling] {
 		return askedMost
 	}
-	unseen := f.engine(q.Service).Mix(now).Heavies * f.unseenFor().Seconds()
+	unseen := f.engine(q.Service).OfferedLoad(now).HeavyRate * f.unseenFor().Seconds()
 	if unseen <= 0 {
 		return askedMost
 	}
--- a/internal/load/micro.go
+++ b/internal/load/micro.go
@@ -66,7 +66,7 @@
 	s := &Slope{Name: "agent_question_lookup", Size: "prompt blocks cached", Cost: "microseconds"}
 	v := filledView(40000)
 	for _, n := range []uint64{100, 200, 400, 800} {
-		s.Add(float64(n), timeOf(5000, func(int) { v.Longest(0, []uint64{n / 2, n}) }))
+		s.Add(float64(n), timeOf(5000, func(int) { v.LongestPrefix(0, []uint64{n / 2, n}) }))
 	}
 	return s
 }
@@ -80,10 +80,10 @@
 			runners[i] = placement.NewRunner(fmt.Sprintf("runner-%d", i), "d", "r", false)
 			indices[i] = int32(i)
 		}
-		var o placement.Orderer
+		var o placement.Ranker
 		s.Add(float64(n), timeOf(5000, func(i int) {
 			levels := []prefix.Boundary{{Hash: uint64(i)}, {Hash: uint64(i) + 7}}
-			o.Order(runners, indices, levels, []int{3}, maxOrder)
+			o.Rank(runners, indices, levels, []int{3}, maxOrder)
 		}))
 	}
 	return s
--- a/internal/trial/site.go
+++ b/internal/trial/site.go
@@ -44,7 +44,7 @@
 	readyEvery  = 20 * time.Millisecond
 )
 
-func newSite(entries, runners int, pace time.Duration, without policy.Off) (*site, error) {
+func newSite(entries, runners int, pace time.Duration, without policy.Disabled) (*site, error) {
 	s := &site{store: kv.NewStore(0), stop: make(chan struct{})}
 	s.server = httptest.NewServer(kv.NewServer(s.store).Handler())
 	for i := range runners {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func (s *site) startNode(i int, without policy.Off) (*node.Node, error) {
+func (s *site) startNode(i int, without policy.Disabled) (*node.Node, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	n := node.New(platform.Node{
@@ -94,7 +94,7 @@
 		Listen: platform.Listen{Front: "127.0.0.1:0", Ready: "127.0.0.1:0"},
 		Bounds: platform.Bounds{GraceS: 1, RevokeMS: 5000, VersionMS: 8000, LeaseMS: 3000, RetryRatio: 0.2, RetryExtra: 50, RetryWindowS: 10},
 		Store:  platform.StoreAt{Address: strings.TrimPrefix(s.server.URL, "http://"), MinLeaseMS: 1000},
-	}, node.Options{Without: without}, log)
+	}, node.Options{Disabled: without}, log)
 	if err := n.Start(); err != nil {
 		return nil, err
 	}
--- a/node/figures.go
+++ b/node/figures.go
@@ -17,13 +17,13 @@
 func (n *Node) logFigures(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, figuresEvery)
-		for service, f := range n.view.fleet.Figures(time.Now()) {
-			loads := n.view.fleet.Loads(service)
+		for service, f := range n.view.fleet.EngineCoefficients(time.Now()) {
+			loads := n.view.fleet.WeightLoads(service)
 			n.log.WithFields(logrus.Fields{
 				"event": "engine_figures", "service": service,
-				"fixed_ms": f.Fixed * 1e3, "thousand_tokens_ms": f.Token * 1e3, "million_pairs_ms": f.Pairs * 1e3,
-				"moved_runner_ms": f.Runner * 1e3, "moved_store_ms": f.Store * 1e3,
-				"load_ms": loads.Load().Milliseconds(), "loads_seen": loads.Seen,
+				"fixed_ms": f.Base * 1e3, "thousand_tokens_ms": f.PerKiloToken * 1e3, "million_pairs_ms": f.PerMegaPair * 1e3,
+				"moved_runner_ms": f.RunnerTransfer * 1e3, "moved_store_ms": f.StoreTransfer * 1e3,
+				"load_ms": loads.LoadDuration().Milliseconds(), "loads_seen": loads.Samples,
 			}).Info("learnt from answers and loads")
 		}
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -40,7 +40,7 @@
 	store    *platform.Store
 	front    *platform.Front
 	router   *router.Router
-	events   *fleet.EventWatch
+	events   *fleet.CacheWatcher
 	pulse    *pulse
 	name     string
 	stopping chan struct{}
@@ -67,17 +67,17 @@
 type Options struct {
 	// MetricsPort is where metrics are served, as the deploy file says; 0 is any port.
 	MetricsPort int
-	// Dropped, where set, returns how many log lines were lost.
-	Dropped func() int64
-	// Without are the mechanisms that are switched off.
-	Without policy.Off
+	// DroppedLogLines, where set, returns how many log lines were lost.
+	DroppedLogLines func() int64
+	// Disabled are the mechanisms that are switched off.
+	Disabled policy.Disabled
 }
 
 func (o Options) dropped() int64 {
-	if o.Dropped == nil {
+	if o.DroppedLogLines == nil {
 		return 0
 	}
-	return o.Dropped()
+	return o.DroppedLogLines()
 }
 
 // Figures of a node's duties.
@@ -122,7 +122,7 @@
 	n.serving, n.interrupt = context.WithCancelCause(context.Background())
 	runners := platform.NewRunners()
 	targets := fleet.New(s.Zone)
-	targets.Without(o.Without)
+	targets.Disable(o.Disabled)
 	n.session = lease.NewSession(n.store, max(leaseTTL, time.Duration(s.Store.MinLeaseMS)*time.Millisecond), leaseMargin)
 	n.view = &view{
 		fleet:   targets,
@@ -134,9 +134,9 @@
 		keys:    ownKeysOf(),
 	}
 	n.view.self = n.view.keys.members + n.name
-	n.view.limitBook = quota.NewBook(s.Bounds.Quota(), o.Without, n.session.Valid, time.Now())
-	n.view.targetBook = quota.NewBook(fleet.TargetBounds, o.Without, n.session.Valid, time.Now())
-	targets.KeepLimits(n.view.targetBook, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	n.view.limitBook = quota.NewLimiter(s.Bounds.Quota(), o.Disabled, n.session.Valid, time.Now())
+	n.view.targetBook = quota.NewLimiter(fleet.LimitTolerance, o.Disabled, n.session.Valid, time.Now())
+	targets.EnforceLimits(n.view.targetBook, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	n.limits = newLimitMetrics(n.registry, n.view.limitBook)
 	n.notices = newNoticeMetrics(n.registry)
 	if s.Bounds.RevokeFailClosed {
@@ -144,22 +144,22 @@
 	}
 	n.view.oldWeights = time.Duration(s.Bounds.VersionMS)*time.Millisecond - oldWeightsMargin
 	n.view.verdicts = verdicts.NewKeeper(n.store, n.registry, log)
-	n.view.seat = rollout.NewSeat(n.store, n.session, n.view.keys.seat, n.name, time.Duration(s.Bounds.LeaseMS)*time.Millisecond, log)
+	n.view.seat = rollout.NewLeaderLock(n.store, n.session, n.view.keys.seat, n.name, time.Duration(s.Bounds.LeaseMS)*time.Millisecond, log)
 	n.pulse = newPulse(n.name, targets, n.view.verdicts.Table, n.view, log)
 	n.view.verdicts.Seat, n.view.verdicts.Soon = n.view.seat, n.pulse.soon
 	n.pulse.digest.counted = telemetry.NewCounter(n.registry, "keel_node_digests_total", "Digests between groups of entries: told, passed_on, left_out.", "what")
-	n.view.holder = rollout.NewHolder(s.Name, rollout.Surroundings{
-		Office: n.view.seat, Orderer: runners, Fleet: targets, Services: n.view.services, Told: n.pulse.soon, Metrics: rollout.NewMetrics(n.registry),
-		Bound: n.view.oldWeights,
+	n.view.holder = rollout.NewController(s.Name, rollout.Config{
+		Leadership: n.view.seat, Client: runners, Fleet: targets, Services: n.view.services, Notify: n.pulse.soon, Metrics: rollout.NewMetrics(n.registry),
+		MaxStaleness: n.view.oldWeights,
 	}, log)
-	targets.OnRebirth(n.view.reborn)
-	targets.OnEnded(func(l fleet.Life) { n.view.verdicts.Table.Ended(l, time.Now()) })
+	targets.OnRestart(n.view.reborn)
+	targets.OnEnd(func(l fleet.Instance) { n.view.verdicts.Table.RecordCrash(l, time.Now()) })
 	watches := telemetry.NewCounter(n.registry, "keel_node_store_watches_total", "Watches of the platform's store, by reason.", "reason")
-	timing := follow.Timing{Wait: watchWait, Gather: gather, Patience: n.view.patience, Counted: func(r follow.Reason) { watches.WithLabelValues(string(r)).Inc() }}
+	timing := follow.Options{WatchTimeout: watchWait, BatchDelay: gather, PeerTimeout: n.view.patience, OnWatch: func(r follow.Reason) { watches.WithLabelValues(string(r)).Inc() }}
 	n.view.follower = follow.New(n.store, platform.AllKeys, timing, platform.NewFeed(n.view), log)
 	n.view.follower.OnChanges(n.pulse.watched)
 	n.registerGauges()
-	n.events = fleet.NewEventWatch(targets, runners)
+	n.events = fleet.NewCacheWatcher(targets, runners)
 	bounds := router.Bounds{OldWeights: n.view.oldWeights, Begin: time.Duration(s.Bounds.VersionMS)*time.Millisecond - beginMargin}
 	retries := router.RetryBounds{
 		Ratio:  s.Bounds.RetryRatio,
@@ -180,13 +180,13 @@
 		return age.Seconds()
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_contents_refused", "Contents that are refused now because targets ended under them.", func() float64 {
-		return float64(n.view.verdicts.Table.Refused(time.Now()))
+		return float64(n.view.verdicts.Table.RefusedCount(time.Now()))
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_oldest_naming_seconds", "For how long the oldest naming of weights has not been in force everywhere; 0 where all are.", func() float64 {
 		return n.view.oldestNaming(time.Now()).Seconds()
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_leaving_unlisted_targets", "Targets that say in answers that they leave and are not listed as draining.", func() float64 {
-		return float64(n.view.fleet.LeavingUnlisted())
+		return float64(n.view.fleet.UnlistedShutdowns())
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_seat_held", "1 while this node gives the orders.", func() float64 {
 		if _, held := n.view.seat.Held(); held {
@@ -294,7 +294,7 @@
 		n.log.WithError(err).WithField("event", "enrol_failed").Warn("the others count this node out until its next lease")
 	}
 	if n.seeks() {
-		n.view.seat.Seek(ctx)
+		n.view.seat.TryAcquire(ctx)
 	}
 }
 
@@ -325,10 +325,10 @@
 		case <-ctx.Done():
 			return
 		}
-		if n.view.follower.Away() || n.view.Config() == nil || !n.seeks() {
+		if n.view.follower.Disconnected() || n.view.Config() == nil || !n.seeks() {
 			continue
 		}
-		if n.view.seat.Seek(ctx) {
+		if n.view.seat.TryAcquire(ctx) {
 			n.view.holder.Wake()
 		}
 	}
--- a/pulses/wire.go
+++ b/pulses/wire.go
@@ -21,28 +21,28 @@
 // bytes; what can't be divided goes into a larger one.
 const DatagramBytes = 1200
 
-// News is all that one pulse tells.
-type News struct {
+// Update is all that one pulse tells.
+type Update struct {
 	Loads    []fleet.Occupancy
-	Findings []fleet.Finding
-	Caches   []fleet.CacheNews
+	Findings []fleet.TargetUpdate
+	Caches   []fleet.CacheUpdate
 	Saves    []fleet.Saves
-	Engines  []forecast.Word
+	Engines  []forecast.Report
 	Suspects []poison.Report
-	Namings  []fleet.Naming
-	Limits   quota.News
-	// Targets is what was sent to targets that name limits.
-	Targets quota.News
+	Namings  []fleet.DesiredVersion
+	Limits   quota.UsageUpdate
+	// TargetLimits is what was sent to targets that name limits.
+	TargetLimits quota.UsageUpdate
 	// mark and view are of the shared watch of the store.
-	Mark clock.Boot
-	View *keelv1.StoreView
+	SentAt    clock.BootTime
+	StoreView *keelv1.StoreView
 }
 
 // newsMost bounds each kind of news that waits to be relayed: a second's of a group.
 const newsMost = 4096
 
-// Add adds what is relayed of other news.
-func (p *News) Add(other News) {
+// AppendRelayed adds what is relayed of other news.
+func (p *Update) AppendRelayed(other Update) {
 	if len(p.Findings) < newsMost {
 		p.Findings = append(p.Findings, other.Findings...)
 	}
@@ -67,16 +67,16 @@
 }
 
 // first returns the pulse that a node's news begins with: its load stands whole in it.
-func (p News) first(sender string) *keelv1.Pulse {
+func (p Update) first(sender string) *keelv1.Pulse {
 	return &keelv1.Pulse{
-		Sender: sender, WholeLoad: true, Loads: encodeLoads(p.Loads), MarkUs: Micros(time.Duration(p.Mark)),
-		View: p.View, Namings: EncodeNamings(p.Namings),
+		Sender: sender, WholeLoad: true, Loads: encodeLoads(p.Loads), MarkUs: Micros(time.Duration(p.SentAt)),
+		View: p.StoreView, Namings: EncodeNamings(p.Namings),
 	}
 }
 
 // Datagrams encodes a pulse, spread over several where it is large; group is set
 // where it is a whole group's.
-func (p News) Datagrams(sender string, group *keelv1.GroupNews) ([][]byte, error) {
+func (p Update) Datagrams(sender string, group *keelv1.GroupNews) ([][]byte, error) {
 	pack := newPacking(p.first(sender), func() *keelv1.Pulse { return &keelv1.Pulse{Sender: sender} })
 	if group != nil {
 		begin := func() *keelv1.Pulse {
@@ -90,7 +90,7 @@
 		}
 	}
 	pack.limits(p.Limits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.Limits = w })
-	pack.limits(p.Targets, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.TargetLimits = w })
+	pack.limits(p.TargetLimits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.TargetLimits = w })
 	for _, w := range EncodeSuspects(p.Suspects) {
 		pack.room(proto.Size(w))
 		pack.message.Suspects = append(pack.message.Suspects, w)
@@ -107,7 +107,7 @@
 		pack.room(proto.Size(w))
 		pack.message.Saves = append(pack.message.Saves, w)
 	}
-	for _, w := range EncodeWords(p.Engines) {
+	for _, w := range EncodeEngines(p.Engines) {
 		pack.room(proto.Size(w))
 		pack.message.Engines = append(pack.message.Engines, w)
 	}
@@ -124,21 +124,21 @@
 		g.Born = append(g.Born, o.Target.Born)
 		g.Inflight = append(g.Inflight, uint32(o.Inflight))
 		g.Long = append(g.Long, uint32(o.Long))
-		g.PrefillTokens = append(g.PrefillTokens, uint32(max(0, o.Prefill)))
+		g.PrefillTokens = append(g.PrefillTokens, uint32(max(0, o.PrefillTokens)))
 		g.Resumable = append(g.Resumable, uint32(o.Resumable))
-		g.Held = append(g.Held, uint32(max(0, o.Held)))
+		g.Held = append(g.Held, uint32(max(0, o.HeldTokens)))
 	}
 }
 
-// GroupLoads leaves out what has no figures of its own, as in a datagram of
+// DecodeGroupLoads leaves out what has no figures of its own, as in a datagram of
 // another shape.
-func GroupLoads(g *keelv1.GroupNews) []fleet.Occupancy {
+func DecodeGroupLoads(g *keelv1.GroupNews) []fleet.Occupancy {
 	n := min(len(g.Target), len(g.Born), len(g.Inflight), len(g.Long), len(g.PrefillTokens), len(g.Resumable), len(g.Held))
 	out := make([]fleet.Occupancy, 0, n)
 	for i := range n {
 		out = append(out, fleet.Occupancy{
-			Target: fleet.Life{ID: g.Target[i], Born: g.Born[i]}, Inflight: int(g.Inflight[i]), Long: int(g.Long[i]),
-			Prefill: int(g.PrefillTokens[i]), Resumable: int(g.Resumable[i]), Held: int(g.Held[i]),
+			Target: fleet.Instance{ID: g.Target[i], Born: g.Born[i]}, Inflight: int(g.Inflight[i]), Long: int(g.Long[i]),
+			PrefillTokens: int(g.PrefillTokens[i]), Resumable: int(g.Resumable[i]), HeldTokens: int(g.Held[i]),
 		})
 	}
 	return out
@@ -149,27 +149,27 @@
 	for _, o := range all {
 		out = append(out, &keelv1.TargetLoad{
 			Target: o.Target.ID, Born: o.Target.Born, Inflight: uint32(o.Inflight), Long: uint32(o.Long),
-			PrefillTokens: uint32(max(0, o.Prefill)), Resumable: uint32(o.Resumable), Held: uint32(max(0, o.Held)),
+			PrefillTokens: uint32(max(0, o.PrefillTokens)), Resumable: uint32(o.Resumable), Held: uint32(max(0, o.HeldTokens)),
 		})
 	}
 	return out
 }
 
-// Loads decodes the load of targets.
-func Loads(all []*keelv1.TargetLoad) []fleet.Occupancy {
+// DecodeLoads decodes the load of targets.
+func DecodeLoads(all []*keelv1.TargetLoad) []fleet.Occupancy {
 	out := make([]fleet.Occupancy, 0, len(all))
 	for _, w := range all {
 		out = append(out, fleet.Occupancy{
-			Target: fleet.Life{ID: w.Target, Born: w.Born}, Inflight: int(w.Inflight), Long: int(w.Long), Prefill: int(w.PrefillTokens), Resumable: int(w.Resumable), Held: int(w.Held),
+			Target: fleet.Instance{ID: w.Target, Born: w.Born}, Inflight: int(w.Inflight), Long: int(w.Long), PrefillTokens: int(w.PrefillTokens), Resumable: int(w.Resumable), HeldTokens: int(w.Held),
 		})
 	}
 	return out
 }
 
-func encodeFindings(all []fleet.Finding) []*keelv1.TargetFinding {
+func encodeFindings(all []fleet.TargetUpdate) []*keelv1.TargetFinding {
 	out := make([]*keelv1.TargetFinding, 0, len(all))
 	for _, found := range all {
-		w := &keelv1.TargetFinding{Target: found.Target.ID, Born: found.Target.Born, BusyMs: uint32(found.Busy.Milliseconds()), Leaving: found.Leaving}
+		w := &keelv1.TargetFinding{Target: found.Target.ID, Born: found.Target.Born, BusyMs: uint32(found.BusyFor.Milliseconds()), Leaving: found.ShuttingDown}
 		for model, version := range found.Weights {
 			w.Weights = append(w.Weights, &keelv1.LoadedWeights{Model: model, Version: version})
 		}
@@ -180,32 +180,32 @@
 	return out
 }
 
-func encodeTargetLimit(told *fleet.ToldLimit) *keelv1.TargetLimit {
+func encodeTargetLimit(told *fleet.LimitUpdate) *keelv1.TargetLimit {
 	if told == nil {
 		return nil
 	}
-	return &keelv1.TargetLimit{Named: told.Named, Rate: told.Rate, AgeUs: Micros(told.Age)}
+	return &keelv1.TargetLimit{Named: told.Declared, Rate: told.Rate, AgeUs: Micros(told.Age)}
 }
 
 // decodeTargetLimit leaves out a limit that is no figure.
-func decodeTargetLimit(w *keelv1.TargetLimit) *fleet.ToldLimit {
+func decodeTargetLimit(w *keelv1.TargetLimit) *fleet.LimitUpdate {
 	if w == nil || math.IsNaN(w.Rate) || w.Rate < 0 {
 		return nil
 	}
-	return &fleet.ToldLimit{Limit: fleet.Limit{Named: w.Named, Rate: w.Rate}, Age: FromMicros(min(w.AgeUs, Micros(longestAge)))}
+	return &fleet.LimitUpdate{Limit: fleet.Limit{Declared: w.Named, Rate: w.Rate}, Age: FromMicros(min(w.AgeUs, Micros(longestAge)))}
 }
 
-// Findings decodes what was learnt of targets.
-func Findings(all []*keelv1.TargetFinding) []fleet.Finding {
-	out := make([]fleet.Finding, 0, len(all))
+// DecodeFindings decodes what was learnt of targets.
+func DecodeFindings(all []*keelv1.TargetFinding) []fleet.TargetUpdate {
+	out := make([]fleet.TargetUpdate, 0, len(all))
 	for _, w := range all {
-		found := fleet.Finding{
-			Target:  fleet.Life{ID: w.Target, Born: w.Born},
-			Weights: map[string]int64{},
-			Busy:    time.Duration(w.BusyMs) * time.Millisecond,
-			Parts:   decodeParts(w.PartHash, w.PartTokens),
-			Limit:   decodeTargetLimit(w.Limit),
-			Leaving: w.Leaving,
+		found := fleet.TargetUpdate{
+			Target:       fleet.Instance{ID: w.Target, Born: w.Born},
+			Weights:      map[string]int64{},
+			BusyFor:      time.Duration(w.BusyMs) * time.Millisecond,
+			Parts:        decodeParts(w.PartHash, w.PartTokens),
+			Limit:        decodeTargetLimit(w.Limit),
+			ShuttingDown: w.Leaving,
 		}
 		for _, l := range w.Weights {
 			found.Weights[l.Model] = l.Version
@@ -232,11 +232,11 @@
 }
 
 // EncodeCaches encodes what changed in caches.
-func EncodeCaches(all []fleet.CacheNews) []*keelv1.CacheNews {
+func EncodeCaches(all []fleet.CacheUpdate) []*keelv1.CacheNews {
 	out := make([]*keelv1.CacheNews, 0, len(all))
 	for _, n := range all {
 		w := &keelv1.CacheNews{
-			Address: n.Address, Target: n.Target.ID, Born: n.Target.Born, Boot: n.Boot, Next: n.Next, DroppedHash: n.Dropped, Silent: n.Silent,
+			Address: n.Address, Target: n.Target.ID, Born: n.Target.Born, Boot: n.Boot, Next: n.Next, DroppedHash: n.Evicted, Silent: n.Unresponsive,
 		}
 		w.StoredHash, w.StoredTokens = encodeParts(n.Stored)
 		out = append(out, w)
@@ -244,13 +244,13 @@
 	return out
 }
 
-// Caches decodes it.
-func Caches(all []*keelv1.CacheNews) []fleet.CacheNews {
-	out := make([]fleet.CacheNews, 0, len(all))
+// DecodeCaches decodes it.
+func DecodeCaches(all []*keelv1.CacheNews) []fleet.CacheUpdate {
+	out := make([]fleet.CacheUpdate, 0, len(all))
 	for _, w := range all {
-		out = append(out, fleet.CacheNews{
-			Address: w.Address, Target: fleet.Life{ID: w.Target, Born: w.Born}, Boot: w.Boot, Next: w.Next, Silent: w.Silent,
-			Stored: decodeParts(w.StoredHash, w.StoredTokens), Dropped: w.DroppedHash,
+		out = append(out, fleet.CacheUpdate{
+			Address: w.Address, Target: fleet.Instance{ID: w.Target, Born: w.Born}, Boot: w.Boot, Next: w.Next, Unresponsive: w.Silent,
+			Stored: decodeParts(w.StoredHash, w.StoredTokens), Evicted: w.DroppedHash,
 		})
 	}
 	return out
@@ -264,8 +264,8 @@
 	return out
 }
 
-// Saves decodes the parts that go to stores.
-func Saves(all []*keelv1.StoreSaves) []fleet.Saves {
+// DecodeSaves decodes the parts that go to stores.
+func DecodeSaves(all []*keelv1.StoreSaves) []fleet.Saves {
 	out := make([]fleet.Saves, 0, len(all))
 	for _, w := range all {
 		out = append(out, fleet.Saves{Store: w.Store, Parts: w.PartHash})
@@ -273,14 +273,14 @@
 	return out
 }
 
-// EncodeWords encodes what was observed of engines.
-func EncodeWords(all []forecast.Word) []*keelv1.EngineWord {
+// EncodeEngines encodes what was observed of engines.
+func EncodeEngines(all []forecast.Report) []*keelv1.EngineWord {
 	out := make([]*keelv1.EngineWord, 0, len(all))
 	for _, word := range all {
 		w := &keelv1.EngineWord{
-			Service: word.Service, Weight: float32(word.Sums.Weight), LoadMs: uint32(word.Loads.Alone.Milliseconds()), LoadsSeen: uint32(word.Loads.Seen),
-			Light: float32(word.Mix.Light), Heavy: float32(word.Mix.Heavy), Heavies: float32(word.Mix.Heavies), Longs: float32(word.Mix.Longs),
-			RunSeconds: float32(word.Runs.Seconds), RunTokens: float32(word.Runs.Tokens),
+			Service: word.Service, Weight: float32(word.Sums.Weight), LoadMs: uint32(word.WeightLoads.IdleDuration.Milliseconds()), LoadsSeen: uint32(word.WeightLoads.Samples),
+			Light: float32(word.OfferedLoad.Light), Heavy: float32(word.OfferedLoad.Heavy), Heavies: float32(word.OfferedLoad.HeavyRate), Longs: float32(word.OfferedLoad.LongRate),
+			RunSeconds: float32(word.SlotHold.Seconds), RunTokens: float32(word.SlotHold.Tokens),
 		}
 		for _, x := range word.Sums.Cross {
 			w.Cross = append(w.Cross, float32(x))
@@ -293,17 +293,17 @@
 	return out
 }
 
-// Words leaves out words of another shape, such as a later version's.
-func Words(all []*keelv1.EngineWord) []forecast.Word {
-	out := make([]forecast.Word, 0, len(all))
+// DecodeEngines leaves out words of another shape, such as a later version's.
+func DecodeEngines(all []*keelv1.EngineWord) []forecast.Report {
+	out := make([]forecast.Report, 0, len(all))
 	for _, w := range all {
-		word := forecast.Word{
+		word := forecast.Report{
 			Service: w.Service,
-			Loads: forecast.Loads{
-				Alone: time.Duration(w.LoadMs) * time.Millisecond, Seen: int(w.LoadsSeen),
+			WeightLoads: forecast.WeightLoads{
+				IdleDuration: time.Duration(w.LoadMs) * time.Millisecond, Samples: int(w.LoadsSeen),
 			},
-			Mix:  forecast.Mix{Light: float64(w.Light), Heavy: float64(w.Heavy), Heavies: float64(w.Heavies), Longs: float64(w.Longs)},
-			Runs: forecast.Ratio{Seconds: float64(w.RunSeconds), Tokens: float64(w.RunTokens)},
+			OfferedLoad: forecast.OfferedLoad{Light: float64(w.Light), Heavy: float64(w.Heavy), HeavyRate: float64(w.Heavies), LongRate: float64(w.Longs)},
+			SlotHold:    forecast.TimePerToken{Seconds: float64(w.RunSeconds), Tokens: float64(w.RunTokens)},
 		}
 		if len(w.Cross) != len(word.Sums.Cross) || len(w.Right) != len(word.Sums.Right) {
 			continue
@@ -326,13 +326,13 @@
 // PartBytes is about how many bytes a part takes: its hash and its tokens.
 const PartBytes = 11
 
-// Fit cuts suspects, findings, saves and news of caches, in this order, to what fits so many
+// TruncateTo cuts suspects, findings, saves and news of caches, in this order, to what fits so many
 // bytes, and returns about how many are used. Of each kind the newest stay.
-func (p *News) Fit(room int) (used int) {
-	p.Suspects = newest(p.Suspects, &used, room, func(r poison.Report) int { return 100 + 30*len(r.Ends) })
-	p.Findings = newest(p.Findings, &used, room, func(f fleet.Finding) int { return 60 + PartBytes*len(f.Parts) })
+func (p *Update) TruncateTo(room int) (used int) {
+	p.Suspects = newest(p.Suspects, &used, room, func(r poison.Report) int { return 100 + 30*len(r.Crashes) })
+	p.Findings = newest(p.Findings, &used, room, func(f fleet.TargetUpdate) int { return 60 + PartBytes*len(f.Parts) })
 	p.Saves = newest(p.Saves, &used, room, func(s fleet.Saves) int { return 24 + 8*len(s.Parts) })
-	p.Caches = newest(p.Caches, &used, room, func(n fleet.CacheNews) int { return 48 + PartBytes*len(n.Stored) + 8*len(n.Dropped) })
+	p.Caches = newest(p.Caches, &used, room, func(n fleet.CacheUpdate) int { return 48 + PartBytes*len(n.Stored) + 8*len(n.Evicted) })
 	return used
 }
 
--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -15,45 +15,45 @@
 	"acaciakeel/policy"
 )
 
-// Orderer reaches runners.
-type Orderer interface {
+// RunnerClient reaches runners.
+type RunnerClient interface {
 	// Report asks a runner for its state.
-	Report(ctx context.Context, of fleet.Runner) (fleet.Report, error)
+	Report(ctx context.Context, of fleet.Target) (fleet.Status, error)
 	// Order gives an order.
 	Order(ctx context.Context, o fleet.Order) (fleet.OrderResult, error)
 }
 
-// Office says whether this process may give orders now, and under which fence.
-type Office interface {
+// Leadership says whether this process may give orders now, and under which fence.
+type Leadership interface {
 	Held() (fence int64, ok bool)
-	// Left returns for how long the right lasts at least.
-	Left() time.Duration
+	// Remaining returns for how long the right lasts at least.
+	Remaining() time.Duration
 }
 
-// Services returns which services run a model.
-type Services func() map[string][]string
+// ServicesByModel returns which services run a model.
+type ServicesByModel func() map[string][]string
 
-// Surroundings are what a holder gives its orders with.
-type Surroundings struct {
-	Office   Office
-	Orderer  Orderer
-	Fleet    *fleet.Fleet
-	Services Services
-	// Told is called when there is news of a runner that the others should have
+// Config are what a holder gives its orders with.
+type Config struct {
+	Leadership Leadership
+	Client     RunnerClient
+	Fleet      *fleet.Fleet
+	Services   ServicesByModel
+	// Notify is called when there is news of a runner that the others should have
 	// at once: until then they send to one that refuses.
-	Told    func()
+	Notify  func()
 	Metrics *Metrics
-	// Bound is for how long after newer weights were named a runner gets requests.
-	Bound time.Duration
+	// MaxStaleness is for how long after newer weights were named a runner gets requests.
+	MaxStaleness time.Duration
 }
 
-// Holder gives the orders while it holds the office.
-type Holder struct {
+// Controller gives the orders while it holds the office.
+type Controller struct {
 	name     string
-	office   Office
-	orderer  Orderer
+	office   Leadership
+	orderer  RunnerClient
 	fleet    *fleet.Fleet
-	services Services
+	services ServicesByModel
 	log      logrus.FieldLogger
 	wake     chan struct{}
 	told     func()
@@ -75,26 +75,26 @@
 
 // underway is an order that has not ended: the life of its runner, and since when.
 type underway struct {
-	life  fleet.Life
+	life  fleet.Instance
 	since time.Time
 }
 
-// NewHolder returns a holder named name, which is the machine's.
-func NewHolder(name string, s Surroundings, log logrus.FieldLogger) *Holder {
-	return &Holder{
-		name: name, office: s.Office, orderer: s.Orderer, fleet: s.Fleet, services: s.Services, told: s.Told, bound: s.Bound, log: log,
+// NewController returns a holder named name, which is the machine's.
+func NewController(name string, s Config, log logrus.FieldLogger) *Controller {
+	return &Controller{
+		name: name, office: s.Leadership, orderer: s.Client, fleet: s.Fleet, services: s.Services, told: s.Notify, bound: s.MaxStaleness, log: log,
 		wake: make(chan struct{}, 1), waiting: newWaiting(s.Metrics, log), underway: map[string]underway{},
 	}
 }
 
-// Blind has runners end their streams before they load: the others no longer tell
+// DisableTruncation has runners end their streams before they load: the others no longer tell
 // which streams they have there, and those that can't go on elsewhere would be cut.
-func (h *Holder) Blind() {
+func (h *Controller) DisableTruncation() {
 	h.blind.Store(true)
 }
 
 // Wake makes the holder look at once.
-func (h *Holder) Wake() {
+func (h *Controller) Wake() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
@@ -106,7 +106,7 @@
 const lookEvery = 300 * time.Millisecond
 
 // Run gives orders until ctx ends.
-func (h *Holder) Run(ctx context.Context) {
+func (h *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(lookEvery)
 	defer ticker.Stop()
 	for {
@@ -124,13 +124,13 @@
 	}
 }
 
-func (h *Holder) look(ctx context.Context) {
+func (h *Controller) look(ctx context.Context) {
 	services := h.services()
 	h.waiting.begin()
-	for model, desired := range h.fleet.Named() {
-		var runners []fleet.Runner
+	for model, desired := range h.fleet.DesiredVersions() {
+		var runners []fleet.Target
 		for _, service := range services[model] {
-			runners = append(runners, h.fleet.Runners(service)...)
+			runners = append(runners, h.fleet.Targets(service)...)
 		}
 		in := h.input(model, desired, runners)
 		turns := Turns(in)
@@ -144,7 +144,7 @@
 	h.waiting.end()
 }
 
-func (h *Holder) input(model string, desired int64, runners []fleet.Runner) Input {
+func (h *Controller) input(model string, desired int64, runners []fleet.Target) Input {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	in := Input{
@@ -158,32 +158,32 @@
 	}
 	now := time.Now()
 	for id, u := range h.underway {
-		if h.fleet.Holds(u.life) {
+		if h.fleet.IsCurrent(u.life) {
 			in.Underway[id] = now.Sub(u.since)
 		}
 	}
 	if len(runners) > 0 {
-		known := h.fleet.Loads(runners[0].Service)
-		in.AtOnce = known.AtOnce(len(runners))
-		in.Bound, in.Each = h.bound, cmp.Or(h.took, known.Order())
+		known := h.fleet.WeightLoads(runners[0].Service)
+		in.AtOnce = known.MaxConcurrent(len(runners))
+		in.Bound, in.Each = h.bound, cmp.Or(h.took, known.OrderDuration())
 	}
 	for _, r := range runners {
-		load := h.fleet.Inflight(r.Life())
+		load := h.fleet.Occupancy(r.Instance())
 		in.Inflight[r.ID], in.Long[r.ID] = load.Inflight, load.Long
-		in.Behind[r.ID] = h.fleet.BehindFor(model, r.Weights[model], now)
+		in.Behind[r.ID] = h.fleet.StaleFor(model, r.Weights[model], now)
 	}
 	return in
 }
 
-func (h *Holder) begin(ctx context.Context, t Turn, model string, desired int64) {
+func (h *Controller) begin(ctx context.Context, t Turn, model string, desired int64) {
 	r := t.Runner
 	h.mu.Lock()
-	h.underway[r.ID] = underway{life: r.Life(), since: time.Now()}
+	h.underway[r.ID] = underway{life: r.Instance(), since: time.Now()}
 	h.mu.Unlock()
 	go func() {
 		h.bring(ctx, t, model, desired)
 		h.mu.Lock()
-		if h.underway[r.ID].life == r.Life() {
+		if h.underway[r.ID].life == r.Instance() {
 			delete(h.underway, r.ID)
 		}
 		h.mu.Unlock()
@@ -205,13 +205,13 @@
 
 // bring brings one runner to the desired weights, or gives up so that the next
 // look decides anew.
-func (h *Holder) bring(ctx context.Context, t Turn, model string, desired int64) {
+func (h *Controller) bring(ctx context.Context, t Turn, model string, desired int64) {
 	r, began := t.Runner, time.Now()
 	truncate := h.clear(ctx, t)
-	cleared, left := time.Since(began), h.fleet.Inflight(r.Life())
+	cleared, left := time.Since(began), h.fleet.Occupancy(r.Instance())
 	report, err := h.orderer.Report(ctx, r)
-	if errors.Is(err, fleet.ErrOtherRunner) {
-		h.fleet.Ended(r.Life())
+	if errors.Is(err, fleet.ErrTargetReplaced) {
+		h.fleet.RecordEnd(r.Instance())
 	}
 	if err != nil {
 		h.event("report_failed", r, model, desired).WithError(err).Warn("the runner can't be asked; it is tried again")
@@ -226,7 +226,7 @@
 	if report.Born != 0 {
 		r.Born = report.Born
 	}
-	h.fleet.Learn(r.Life(), model, report.Weights[model], time.Now())
+	h.fleet.RecordWeights(r.Instance(), model, report.Weights[model], time.Now())
 	if report.Weights[model] >= desired {
 		return
 	}
@@ -242,17 +242,17 @@
 	}
 	// A later life counts its orders from nothing: by the count of a former one
 	// an order may be carried out that was not meant for it, or a newer one refused.
-	if !h.fleet.Holds(r.Life()) {
+	if !h.fleet.IsCurrent(r.Instance()) {
 		return
 	}
-	result, err := h.give(ctx, fleet.Order{Runner: r, Model: model, Weights: desired, Holder: h.name, Fence: fence, Orders: report.Orders, Truncate: truncate})
-	h.event("order", r, model, desired).WithFields(logrus.Fields{"result": result, "fence": fence, "orders": report.Orders, "truncate": truncate, "cleared_ms": cleared.Milliseconds(), "inflight": left.Inflight, "resumable": left.Resumable, "long": left.Long}).WithError(err).Info("order given")
+	result, err := h.give(ctx, fleet.Order{Target: r, Model: model, WeightsVersion: desired, Holder: h.name, Fence: fence, ExpectedOrders: report.AcceptedOrders, Truncate: truncate})
+	h.event("order", r, model, desired).WithFields(logrus.Fields{"result": result, "fence": fence, "orders": report.AcceptedOrders, "truncate": truncate, "cleared_ms": cleared.Milliseconds(), "inflight": left.Inflight, "resumable": left.Resumable, "long": left.Long}).WithError(err).Info("order given")
 	switch result {
-	case fleet.OrderHolds:
-		h.fleet.Learn(r.Life(), model, desired, time.Now())
+	case fleet.OrderAlreadyLoaded:
+		h.fleet.RecordWeights(r.Instance(), model, desired, time.Now())
 	case fleet.OrderMisdirected:
 		// Another runner has the address: this one has ended, whatever the list says.
-		h.fleet.Ended(r.Life())
+		h.fleet.RecordEnd(r.Instance())
 	case fleet.OrderAccepted:
 		if h.await(ctx, r, model, desired) {
 			h.tookOne(time.Since(began))
@@ -279,19 +279,19 @@
 // these may be cut off: each must be one that goes on at another runner, after
 // its last event. Left to end, the last of them keep a runner of forty or sixty
 // slots out of service for four to six seconds.
-func (h *Holder) clear(ctx context.Context, t Turn) bool {
+func (h *Controller) clear(ctx context.Context, t Turn) bool {
 	r, tries := t.Runner, clearTries
 	if t.Short {
 		tries = clearTriesShort
 	}
-	if h.fleet.Inflight(r.Life()).Long == 0 || h.blind.Load() || h.fleet.Off(policy.Cutting) {
+	if h.fleet.Occupancy(r.Instance()).Long == 0 || h.blind.Load() || h.fleet.Disabled(policy.Truncation) {
 		return false
 	}
 	for range tries {
-		h.fleet.Busy(r.Life(), time.Now().Add(busyGuard))
+		h.fleet.RecordBusy(r.Instance(), time.Now().Add(busyGuard))
 		h.told()
 		clock.Sleep(ctx, clearFor)
-		if load := h.fleet.Inflight(r.Life()); load.Inflight == load.Resumable {
+		if load := h.fleet.Occupancy(r.Instance()); load.Inflight == load.Resumable {
 			return load.Inflight > 0
 		}
 	}
@@ -301,8 +301,8 @@
 // give gives an order, within the time of the office: one that is held up on its way, by
 // a slow link or a connection that takes its time, must not arrive beside those of the
 // next holder.
-func (h *Holder) give(ctx context.Context, o fleet.Order) (fleet.OrderResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.office.Left())
+func (h *Controller) give(ctx context.Context, o fleet.Order) (fleet.OrderResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, h.office.Remaining())
 	defer cancel()
 	return h.orderer.Order(ctx, o)
 }
@@ -311,7 +311,7 @@
 // last ten or so tell how long runs last by now.
 const tookStep = 0.1
 
-func (h *Holder) tookOne(d time.Duration) {
+func (h *Controller) tookOne(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.took == 0 {
@@ -322,12 +322,12 @@
 
 // await waits for the end of an order, asking the runner, and reports whether the
 // runner has its weights.
-func (h *Holder) await(ctx context.Context, r fleet.Runner, model string, desired int64) bool {
+func (h *Controller) await(ctx context.Context, r fleet.Target, model string, desired int64) bool {
 	began := time.Now()
-	h.fleet.Busy(r.Life(), began.Add(busyGuard))
+	h.fleet.RecordBusy(r.Instance(), began.Add(busyGuard))
 	h.told()
 	clock.Sleep(ctx, pollFirst)
-	for ctx.Err() == nil && time.Since(began) < longestOrder && h.fleet.Live(r.Life()) {
+	for ctx.Err() == nil && time.Since(began) < longestOrder && h.fleet.Available(r.Instance()) {
 		report, err := h.orderer.Report(ctx, r)
 		if err == nil && !h.reports(r, report) {
 			// The order ended with the life that took it; the load that the later
@@ -335,16 +335,16 @@
 			return false
 		}
 		if err == nil && report.Weights[model] >= desired {
-			h.fleet.Learn(r.Life(), model, desired, time.Now())
+			h.fleet.RecordWeights(r.Instance(), model, desired, time.Now())
 			h.told()
-			h.fleet.WeightsLoaded(r.Service, time.Since(began))
+			h.fleet.RecordWeightLoad(r.Service, time.Since(began))
 			h.event("loaded", r, model, desired).WithField("took_ms", time.Since(began).Milliseconds()).Info("the runner has its weights")
 			return true
 		}
 		if err == nil && !report.Busy {
 			return false
 		}
-		h.fleet.Busy(r.Life(), time.Now().Add(busyGuard))
+		h.fleet.RecordBusy(r.Instance(), time.Now().Add(busyGuard))
 		clock.Sleep(ctx, pollEvery)
 	}
 	return false
@@ -352,20 +352,20 @@
 
 // reports reports whether a report is of the life of a runner that was asked for.
 // A later one ends that life, and what it says is taken; a former one says nothing.
-func (h *Holder) reports(r fleet.Runner, report fleet.Report) bool {
-	life := fleet.Life{ID: r.ID, Born: report.Born}
-	if !h.fleet.Hear(life) {
+func (h *Controller) reports(r fleet.Target, report fleet.Status) bool {
+	life := fleet.Instance{ID: r.ID, Born: report.Born}
+	if !h.fleet.Observe(life) {
 		return false
 	}
-	if life.Same(r.Life()) {
+	if life.Matches(r.Instance()) {
 		return true
 	}
 	for model, version := range report.Weights {
-		h.fleet.Learn(life, model, version, time.Now())
+		h.fleet.RecordWeights(life, model, version, time.Now())
 	}
 	return false
 }
 
-func (h *Holder) event(name string, r fleet.Runner, model string, desired int64) *logrus.Entry {
+func (h *Controller) event(name string, r fleet.Target, model string, desired int64) *logrus.Entry {
 	return h.log.WithFields(logrus.Fields{"event": name, "runner": r.ID, "born": r.Born, "model": model, "weights": desired})
 }
--- a/router/overload.go
+++ b/router/overload.go
@@ -26,7 +26,7 @@
 func waitLimit(objective, reading time.Duration) time.Duration {
 	share := overloadFactor
 	if reading > 0 {
-		share = min(lightFactor, max(overloadFactor, overloadFactor*fleet.LightReading*objective.Seconds()/reading.Seconds()))
+		share = min(lightFactor, max(overloadFactor, overloadFactor*fleet.LightPrefillShare*objective.Seconds()/reading.Seconds()))
 	}
 	return time.Duration(share * float64(objective))
 }
@@ -34,17 +34,17 @@
 // overloaded refuses a request whose first token is expected too late, at once
 // and with the time until the backlog has shrunk.
 func (s *session) overloaded(choice fleet.Choice) *refusal.Error {
-	reading := choice.Reading
-	if s.router.fleet.Off(policy.LightWaits) {
+	reading := choice.PrefillTime
+	if s.router.fleet.Disabled(policy.LightWaitAllowance) {
 		reading = 0
 	}
 	limit := waitLimit(s.in.route.Objective, reading)
-	if s.ran > 0 || s.in.Model == "" || limit <= 0 || !choice.Known || s.router.fleet.Off(policy.Refusing) || choice.Wait <= limit {
+	if s.ran > 0 || s.in.Model == "" || limit <= 0 || !choice.Reliable || s.router.fleet.Disabled(policy.WaitRefusal) || choice.Wait <= limit {
 		return nil
 	}
 	over := choice.Wait - limit
 	return refusal.New(refusal.QueueFull, "come back after the time in Retry-After",
-		"reading is expected to begin in %v, over %v", choice.Wait.Round(time.Millisecond), limit).After(over + minReturn + rand.N(minReturn))
+		"reading is expected to begin in %v, over %v", choice.Wait.Round(time.Millisecond), limit).WithRetryAfter(over + minReturn + rand.N(minReturn))
 }
 
 // minReturn is the least time after which a refused client is asked back; twice
@@ -58,19 +58,19 @@
 		out.Outcome = refusal.Unknown
 		return out
 	}
-	if wait, ok := s.router.fleet.HeldBack(s.query(), time.Now()); ok {
+	if wait, ok := s.router.fleet.RetryAfter(s.query(), time.Now()); ok {
 		return s.heldBack(wait)
 	}
 	return refusal.New(refusal.NoTarget, "come back after the time in Retry-After",
-		"none of the targets of service %s can take the request", s.in.service.Name).After(retryAfter)
+		"none of the targets of service %s can take the request", s.in.service.Name).WithRetryAfter(retryAfter)
 }
 
 // heldBack refuses a request whose targets want no more for now.
-func (s *session) heldBack(wait fleet.Wait) *refusal.Error {
+func (s *session) heldBack(wait fleet.RetryDelay) *refusal.Error {
 	kind, why := refusal.TargetsLimited, "get as many requests as they take"
-	if wait.Rest {
-		kind, why = refusal.TargetsResting, "asked for rest"
+	if wait.Backoff {
+		kind, why = refusal.TargetsBackingOff, "asked for rest"
 	}
 	return refusal.New(kind, "come back after the time in Retry-After",
-		"the targets of service %s that could take the request %s", s.in.service.Name, why).After(wait.For + minReturn + rand.N(minReturn))
+		"the targets of service %s that could take the request %s", s.in.service.Name, why).WithRetryAfter(wait.For + minReturn + rand.N(minReturn))
 }
