--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -49,32 +49,32 @@
 
 // Controller gives the orders while it holds the office.
 type Controller struct {
-	name     string
-	office   Leadership
-	orderer  RunnerClient
-	fleet    *fleet.Fleet
-	services ServicesByModel
-	log      logrus.FieldLogger
-	wake     chan struct{}
-	told     func()
-	waiting  waiting
-	bound    time.Duration
+	name         string
+	leadership   Leadership
+	client       RunnerClient
+	fleet        *fleet.Fleet
+	services     ServicesByModel
+	log          logrus.FieldLogger
+	wake         chan struct{}
+	notify       func()
+	waits        waitReporter
+	maxStaleness time.Duration
 
-	// blind is set while the others do not tell this process what they send.
-	blind atomic.Bool
+	// truncationDisabled is set while the others do not tell this process what they send.
+	truncationDisabled atomic.Bool
 
 	mu sync.Mutex
-	// underway are the orders that have not ended, by the id of their runner. Once
+	// inProgress are the orders that have not ended, by the id of their runner. Once
 	// the runner starts again its former life's order no longer counts: the new
 	// one would wait for it in vain.
-	underway map[string]underway
-	// took is what an order takes, from its turn to the end of the load; 0 until one
+	inProgress map[string]activeOrder
+	// orderDuration is what an order takes, from its turn to the end of the load; 0 until one
 	// was seen.
-	took time.Duration
+	orderDuration time.Duration
 }
 
-// underway is an order that has not ended: the life of its runner, and since when.
-type underway struct {
+// activeOrder is an order that has not ended: the life of its runner, and since when.
+type activeOrder struct {
 	life  fleet.Life
 	since time.Time
 }
@@ -82,15 +82,15 @@
 // NewController returns a holder named name, which is the machine's.
 func NewController(name string, s Config, log logrus.FieldLogger) *Controller {
 	return &Controller{
-		name: name, office: s.Leadership, orderer: s.Client, fleet: s.Fleet, services: s.Services, told: s.Notify, bound: s.MaxStaleness, log: log,
-		wake: make(chan struct{}, 1), waiting: newWaiting(s.Metrics, log), underway: map[string]underway{},
+		name: name, leadership: s.Leadership, client: s.Client, fleet: s.Fleet, services: s.Services, notify: s.Notify, maxStaleness: s.MaxStaleness, log: log,
+		wake: make(chan struct{}, 1), waits: newWaitReporter(s.Metrics, log), inProgress: map[string]activeOrder{},
 	}
 }
 
 // DisableTruncation has runners end their streams before they load: the others no longer tell
 // which streams they have there, and those that can't go on elsewhere would be cut.
 func (h *Controller) DisableTruncation() {
-	h.blind.Store(true)
+	h.truncationDisabled.Store(true)
 }
 
 // Wake makes the holder look at once.
@@ -101,19 +101,19 @@
 	}
 }
 
-// lookEvery is how often the holder looks for runners that fell behind without
+// reconcileInterval is how often the holder looks for runners that fell behind without
 // news, such as one that came back from an outage.
-const lookEvery = 300 * time.Millisecond
+const reconcileInterval = 300 * time.Millisecond
 
 // Run gives orders until ctx ends.
 func (h *Controller) Run(ctx context.Context) {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
 	for {
-		if _, ok := h.office.Held(); ok {
-			h.look(ctx)
+		if _, ok := h.leadership.Held(); ok {
+			h.reconcile(ctx)
 		} else {
-			h.waiting.none()
+			h.waits.reset()
 		}
 		select {
 		case <-h.wake:
@@ -124,67 +124,67 @@
 	}
 }
 
-func (h *Controller) look(ctx context.Context) {
+func (h *Controller) reconcile(ctx context.Context) {
 	services := h.services()
-	h.waiting.begin()
+	h.waits.beginPass()
 	for model, desired := range h.fleet.Named() {
 		var runners []fleet.Runner
 		for _, service := range services[model] {
 			runners = append(runners, h.fleet.Runners(service)...)
 		}
-		in := h.input(model, desired, runners)
-		turns := Turns(in)
-		h.waiting.note(in, turns)
-		for _, t := range turns {
-			if t.Wait == None {
-				h.begin(ctx, t, model, desired)
+		in := h.planInput(model, desired, runners)
+		decisions := Plan(in)
+		h.waits.record(in, decisions)
+		for _, t := range decisions {
+			if t.WaitReason == None {
+				h.startOrder(ctx, t, model, desired)
 			}
 		}
 	}
-	h.waiting.end()
+	h.waits.endPass()
 }
 
-func (h *Controller) input(model string, desired int64, runners []fleet.Runner) Input {
+func (h *Controller) planInput(model string, desired int64, runners []fleet.Runner) Input {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	in := Input{
-		Model:    model,
-		Desired:  desired,
-		Runners:  runners,
-		Underway: map[string]time.Duration{},
-		Inflight: map[string]int{},
-		Long:     map[string]int{},
-		Behind:   map[string]time.Duration{},
+		Model:      model,
+		Desired:    desired,
+		Runners:    runners,
+		InProgress: map[string]time.Duration{},
+		Inflight:   map[string]int{},
+		LongRuns:   map[string]int{},
+		StaleFor:   map[string]time.Duration{},
 	}
 	now := time.Now()
-	for id, u := range h.underway {
+	for id, u := range h.inProgress {
 		if h.fleet.Holds(u.life) {
-			in.Underway[id] = now.Sub(u.since)
+			in.InProgress[id] = now.Sub(u.since)
 		}
 	}
 	if len(runners) > 0 {
 		known := h.fleet.Loads(runners[0].Service)
-		in.AtOnce = known.AtOnce(len(runners))
-		in.Bound, in.Each = h.bound, cmp.Or(h.took, known.Order())
+		in.MaxConcurrent = known.AtOnce(len(runners))
+		in.MaxStaleness, in.OrderDuration = h.maxStaleness, cmp.Or(h.orderDuration, known.Order())
 	}
 	for _, r := range runners {
 		load := h.fleet.Inflight(r.Life())
-		in.Inflight[r.ID], in.Long[r.ID] = load.Inflight, load.Long
-		in.Behind[r.ID] = h.fleet.BehindFor(model, r.Weights[model], now)
+		in.Inflight[r.ID], in.LongRuns[r.ID] = load.Inflight, load.Long
+		in.StaleFor[r.ID] = h.fleet.BehindFor(model, r.Weights[model], now)
 	}
 	return in
 }
 
-func (h *Controller) begin(ctx context.Context, t Turn, model string, desired int64) {
+func (h *Controller) startOrder(ctx context.Context, t Decision, model string, desired int64) {
 	r := t.Runner
 	h.mu.Lock()
-	h.underway[r.ID] = underway{life: r.Life(), since: time.Now()}
+	h.inProgress[r.ID] = activeOrder{life: r.Life(), since: time.Now()}
 	h.mu.Unlock()
 	go func() {
-		h.bring(ctx, t, model, desired)
+		h.updateRunner(ctx, t, model, desired)
 		h.mu.Lock()
-		if h.underway[r.ID].life == r.Life() {
-			delete(h.underway, r.ID)
+		if h.inProgress[r.ID].life == r.Life() {
+			delete(h.inProgress, r.ID)
 		}
 		h.mu.Unlock()
 		h.Wake()
@@ -193,34 +193,34 @@
 
 // Figures of one runner's change.
 const (
-	// pollFirst is when a runner is first asked whether its order has ended:
+	// firstPollDelay is when a runner is first asked whether its order has ended:
 	// the shortest load. pollEvery is the pause between further questions.
-	pollFirst = 450 * time.Millisecond
-	pollEvery = 150 * time.Millisecond
-	// longestOrder is after how long an order counts as lost.
-	longestOrder = 6 * time.Second
-	// busyGuard is for how long a question's answer keeps new requests away.
-	busyGuard = 700 * time.Millisecond
+	firstPollDelay = 450 * time.Millisecond
+	pollInterval   = 150 * time.Millisecond
+	// orderTimeout is after how long an order counts as lost.
+	orderTimeout = 6 * time.Second
+	// busyDuration is for how long a question's answer keeps new requests away.
+	busyDuration = 700 * time.Millisecond
 )
 
-// bring brings one runner to the desired weights, or gives up so that the next
+// updateRunner brings one runner to the desired weights, or gives up so that the next
 // look decides anew.
-func (h *Controller) bring(ctx context.Context, t Turn, model string, desired int64) {
-	r, began := t.Runner, time.Now()
-	truncate := h.clear(ctx, t)
-	cleared, left := time.Since(began), h.fleet.Inflight(r.Life())
-	report, err := h.orderer.Report(ctx, r)
+func (h *Controller) updateRunner(ctx context.Context, t Decision, model string, desired int64) {
+	r, start := t.Runner, time.Now()
+	truncate := h.prepareTruncation(ctx, t)
+	drainTime, remaining := time.Since(start), h.fleet.Inflight(r.Life())
+	report, err := h.client.Report(ctx, r)
 	if errors.Is(err, fleet.ErrOtherRunner) {
 		h.fleet.Ended(r.Life())
 	}
 	if err != nil {
-		h.event("report_failed", r, model, desired).WithError(err).Warn("the runner can't be asked; it is tried again")
-		clock.Sleep(ctx, pollEvery)
+		h.logEvent("report_failed", r, model, desired).WithError(err).Warn("the runner can't be asked; it is tried again")
+		clock.Sleep(ctx, pollInterval)
 		return
 	}
-	if !h.reports(r, report) {
-		h.event("report_other_life", r, model, desired).WithField("reported", report.Born).Warn("another life of the runner answered; what becomes of it is decided anew")
-		clock.Sleep(ctx, pollEvery)
+	if !h.checkLife(r, report) {
+		h.logEvent("report_other_life", r, model, desired).WithField("reported", report.Born).Warn("another life of the runner answered; what becomes of it is decided anew")
+		clock.Sleep(ctx, pollInterval)
 		return
 	}
 	if report.Born != 0 {
@@ -231,12 +231,12 @@
 		return
 	}
 	if report.Busy {
-		clock.Sleep(ctx, pollEvery)
+		clock.Sleep(ctx, pollInterval)
 		return
 	}
 	// The office is looked at last before the order leaves: a process that
 	// slept since must not order after another took over.
-	fence, ok := h.office.Held()
+	fence, ok := h.leadership.Held()
 	if !ok {
 		return
 	}
@@ -245,8 +245,8 @@
 	if !h.fleet.Holds(r.Life()) {
 		return
 	}
-	result, err := h.give(ctx, fleet.Order{Runner: r, Model: model, Weights: desired, Holder: h.name, Fence: fence, Orders: report.Orders, Truncate: truncate})
-	h.event("order", r, model, desired).WithFields(logrus.Fields{"result": result, "fence": fence, "orders": report.Orders, "truncate": truncate, "cleared_ms": cleared.Milliseconds(), "inflight": left.Inflight, "resumable": left.Resumable, "long": left.Long}).WithError(err).Info("order given")
+	result, err := h.sendOrder(ctx, fleet.Order{Runner: r, Model: model, Weights: desired, Holder: h.name, Fence: fence, Orders: report.Orders, Truncate: truncate})
+	h.logEvent("order", r, model, desired).WithFields(logrus.Fields{"result": result, "fence": fence, "orders": report.Orders, "truncate": truncate, "cleared_ms": drainTime.Milliseconds(), "inflight": remaining.Inflight, "resumable": remaining.Resumable, "long": remaining.Long}).WithError(err).Info("order given")
 	switch result {
 	case fleet.OrderHolds:
 		h.fleet.Learn(r.Life(), model, desired, time.Now())
@@ -254,43 +254,43 @@
 		// Another runner has the address: this one has ended, whatever the list says.
 		h.fleet.Ended(r.Life())
 	case fleet.OrderAccepted:
-		if h.await(ctx, r, model, desired) {
-			h.tookOne(time.Since(began))
+		if h.awaitLoad(ctx, r, model, desired) {
+			h.recordDuration(time.Since(start))
 		}
 	default:
-		clock.Sleep(ctx, pollEvery)
+		clock.Sleep(ctx, pollInterval)
 	}
 }
 
 // Figures of cutting long runs off.
 const (
-	// clearFor is how long a runner is kept free of new requests before its long
+	// drainCheckInterval is how long a runner is kept free of new requests before its long
 	// runs are cut off: until the others heard of it, and short runs end.
-	clearFor = 300 * time.Millisecond
-	// clearTries is how often that is waited for before the runs are left to end.
-	clearTries = 4
-	// clearTriesShort is the same where the runner's time is short: the runs that can't
+	drainCheckInterval = 300 * time.Millisecond
+	// drainChecks is how often that is waited for before the runs are left to end.
+	drainChecks = 4
+	// urgentDrainChecks is the same where the runner's time is short: the runs that can't
 	// go on elsewhere are mostly short ones that end within 3.6 s, and left to end the
 	// long ones keep the runner for longer than that.
-	clearTriesShort = 12
+	urgentDrainChecks = 12
 )
 
-// clear prepares a runner that has only long runs left, and reports whether
+// prepareTruncation prepares a runner that has only long runs left, and reports whether
 // these may be cut off: each must be one that goes on at another runner, after
 // its last event. Left to end, the last of them keep a runner of forty or sixty
 // slots out of service for four to six seconds.
-func (h *Controller) clear(ctx context.Context, t Turn) bool {
-	r, tries := t.Runner, clearTries
-	if t.Short {
-		tries = clearTriesShort
+func (h *Controller) prepareTruncation(ctx context.Context, t Decision) bool {
+	r, checks := t.Runner, drainChecks
+	if t.Urgent {
+		checks = urgentDrainChecks
 	}
-	if h.fleet.Inflight(r.Life()).Long == 0 || h.blind.Load() || h.fleet.Off(policy.Truncation) {
+	if h.fleet.Inflight(r.Life()).Long == 0 || h.truncationDisabled.Load() || h.fleet.Off(policy.Truncation) {
 		return false
 	}
-	for range tries {
-		h.fleet.Busy(r.Life(), time.Now().Add(busyGuard))
-		h.told()
-		clock.Sleep(ctx, clearFor)
+	for range checks {
+		h.fleet.Busy(r.Life(), time.Now().Add(busyDuration))
+		h.notify()
+		clock.Sleep(ctx, drainCheckInterval)
 		if load := h.fleet.Inflight(r.Life()); load.Inflight == load.Resumable {
 			return load.Inflight > 0
 		}
@@ -298,61 +298,61 @@
 	return false
 }
 
-// give gives an order, within the time of the office: one that is held up on its way, by
+// sendOrder gives an order, within the time of the office: one that is held up on its way, by
 // a slow link or a connection that takes its time, must not arrive beside those of the
 // next holder.
-func (h *Controller) give(ctx context.Context, o fleet.Order) (fleet.OrderResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.office.Remaining())
+func (h *Controller) sendOrder(ctx context.Context, o fleet.Order) (fleet.OrderResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, h.leadership.Remaining())
 	defer cancel()
-	return h.orderer.Order(ctx, o)
+	return h.client.Order(ctx, o)
 }
 
-// tookStep is the part of the difference by which one order moves what one takes: the
+// durationSmoothing is the part of the difference by which one order moves what one takes: the
 // last ten or so tell how long runs last by now.
-const tookStep = 0.1
+const durationSmoothing = 0.1
 
-func (h *Controller) tookOne(d time.Duration) {
+func (h *Controller) recordDuration(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.took == 0 {
-		h.took = d
+	if h.orderDuration == 0 {
+		h.orderDuration = d
 	}
-	h.took += time.Duration(tookStep * float64(d-h.took))
+	h.orderDuration += time.Duration(durationSmoothing * float64(d-h.orderDuration))
 }
 
-// await waits for the end of an order, asking the runner, and reports whether the
+// awaitLoad waits for the end of an order, asking the runner, and reports whether the
 // runner has its weights.
-func (h *Controller) await(ctx context.Context, r fleet.Runner, model string, desired int64) bool {
-	began := time.Now()
-	h.fleet.Busy(r.Life(), began.Add(busyGuard))
-	h.told()
-	clock.Sleep(ctx, pollFirst)
-	for ctx.Err() == nil && time.Since(began) < longestOrder && h.fleet.Live(r.Life()) {
-		report, err := h.orderer.Report(ctx, r)
-		if err == nil && !h.reports(r, report) {
+func (h *Controller) awaitLoad(ctx context.Context, r fleet.Runner, model string, desired int64) bool {
+	start := time.Now()
+	h.fleet.Busy(r.Life(), start.Add(busyDuration))
+	h.notify()
+	clock.Sleep(ctx, firstPollDelay)
+	for ctx.Err() == nil && time.Since(start) < orderTimeout && h.fleet.Live(r.Life()) {
+		report, err := h.client.Report(ctx, r)
+		if err == nil && !h.checkLife(r, report) {
 			// The order ended with the life that took it; the load that the later
 			// one may do tells nothing of how long this one's took.
 			return false
 		}
 		if err == nil && report.Weights[model] >= desired {
 			h.fleet.Learn(r.Life(), model, desired, time.Now())
-			h.told()
-			h.fleet.WeightsLoaded(r.Service, time.Since(began))
-			h.event("loaded", r, model, desired).WithField("took_ms", time.Since(began).Milliseconds()).Info("the runner has its weights")
+			h.notify()
+			h.fleet.WeightsLoaded(r.Service, time.Since(start))
+			h.logEvent("loaded", r, model, desired).WithField("took_ms", time.Since(start).Milliseconds()).Info("the runner has its weights")
 			return true
 		}
 		if err == nil && !report.Busy {
 			return false
 		}
-		h.fleet.Busy(r.Life(), time.Now().Add(busyGuard))
-		clock.Sleep(ctx, pollEvery)
+		h.fleet.Busy(r.Life(), time.Now().Add(busyDuration))
+		clock.Sleep(ctx, pollInterval)
 	}
 	return false
 }
 
-// reports reports whether a report is of the life of a runner that was asked for.
+// checkLife checkLife whether a report is of the life of a runner that was asked for.
 // A later one ends that life, and what it says is taken; a former one says nothing.
-func (h *Controller) reports(r fleet.Runner, report fleet.Report) bool {
+func (h *Controller) checkLife(r fleet.Runner, report fleet.Report) bool {
 	life := fleet.Life{ID: r.ID, Born: report.Born}
 	if !h.fleet.Hear(life) {
 		return false
@@ -366,6 +366,6 @@
 	return false
 }
 
-func (h *Controller) event(name string, r fleet.Runner, model string, desired int64) *logrus.Entry {
+func (h *Controller) logEvent(name string, r fleet.Runner, model string, desired int64) *logrus.Entry {
 	return h.log.WithFields(logrus.Fields{"event": name, "runner": r.ID, "born": r.Born, "model": model, "weights": desired})
 }
--- a/rollout/holder_test.go
+++ b/rollout/holder_test.go
@@ -59,7 +59,7 @@
 	f.Put(r)
 	h := NewController("n", Config{Leadership: lapsing{}, Client: &held{}, Fleet: f, Notify: func() {}}, quiet())
 	// The test ends by its own time-out if the order does not.
-	h.bring(context.Background(), Turn{Runner: r}, "m", 2)
+	h.updateRunner(context.Background(), Decision{Runner: r}, "m", 2)
 }
 
 // bringOne brings one runner with the given requests at work to weights 2 and
@@ -74,7 +74,7 @@
 	}
 	o := &orders{}
 	h := NewController("n", Config{Leadership: always{}, Client: o, Fleet: f, Notify: func() {}}, quiet())
-	h.bring(context.Background(), Turn{Runner: r}, "m", 2)
+	h.updateRunner(context.Background(), Decision{Runner: r}, "m", 2)
 	if len(o.sent) != 1 {
 		t.Fatalf("%d orders", len(o.sent))
 	}
--- a/rollout/life_test.go
+++ b/rollout/life_test.go
@@ -72,7 +72,7 @@
 func TestNoOrderByTheCountOfAFormerLife(t *testing.T) {
 	f, r := listed()
 	o := &lives{reports: []fleet.Report{reported(10, 3)}, result: fleet.OrderAccepted}
-	holder(f, o, func() { f.Hear(fleet.Life{ID: "r", Born: 20}) }).bring(t.Context(), Turn{Runner: r}, "m", 2)
+	holder(f, o, func() { f.Hear(fleet.Life{ID: "r", Born: 20}) }).updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
 	if len(o.sent) != 0 {
 		t.Errorf("an order left on the count of %d orders of a former life", o.sent[0].Orders)
 	}
@@ -85,17 +85,17 @@
 	f, r := listed()
 	o := &lives{reports: []fleet.Report{reported(20, 0)}, result: fleet.OrderHolds}
 	h := holder(f, o, func() {})
-	h.bring(t.Context(), Turn{Runner: r}, "m", 2)
+	h.updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
 	if len(o.sent) != 0 || !f.Holds(fleet.Life{ID: "r", Born: 20}) {
 		t.Fatalf("%d orders before the new life was looked at", len(o.sent))
 	}
 	o.reports = []fleet.Report{reported(10, 7, 9)}
-	h.bring(t.Context(), Turn{Runner: f.Runners("lm")[0]}, "m", 2)
+	h.updateRunner(t.Context(), Decision{Runner: f.Runners("lm")[0]}, "m", 2)
 	if v := f.Runners("lm")[0].Weights["m"]; len(o.sent) != 0 || v != 1 {
 		t.Errorf("a former life's report led to %d orders and weights %d", len(o.sent), v)
 	}
 	o.reports = []fleet.Report{reported(20, 0)}
-	h.bring(t.Context(), Turn{Runner: f.Runners("lm")[0]}, "m", 2)
+	h.updateRunner(t.Context(), Decision{Runner: f.Runners("lm")[0]}, "m", 2)
 	if len(o.sent) != 1 || o.sent[0].Orders != 0 || o.sent[0].Runner.Born != 20 {
 		t.Errorf("sent %+v, want one order to the new life on no orders", o.sent)
 	}
@@ -111,7 +111,7 @@
 	h := holder(f, o, func() {})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	h.begin(ctx, Turn{Runner: r}, "m", 2)
+	h.startOrder(ctx, Decision{Runner: r}, "m", 2)
 	now := f.Runners("lm")
 	// The report's start is taken first and its weights just after.
 	for end := time.Now().Add(10 * time.Second); (now[0].Born != 20 || now[0].Weights["m"] == 0) && time.Now().Before(end); now = f.Runners("lm") {
@@ -120,7 +120,7 @@
 	if v := now[0].Weights["m"]; v != 1 {
 		t.Fatalf("the new life is taken to have weights %d, want 1", v)
 	}
-	if due := ordered(h.input("m", 2, now)); len(due) != 1 || due[0].Born != 20 {
+	if due := ordered(h.planInput("m", 2, now)); len(due) != 1 || due[0].Born != 20 {
 		t.Errorf("due are %+v, want the new life", due)
 	}
 }
@@ -133,7 +133,7 @@
 		o := &slow{lives: lives{reports: []fleet.Report{reported(10, 3)}, result: result}, meanwhile: func() {
 			f.Put(fleet.Runner{ID: "r", Born: 20, Service: "lm", Address: "r:1", Weights: map[string]int64{"m": 1}})
 		}}
-		NewController("n", Config{Leadership: always{}, Client: o, Fleet: f, Notify: func() {}}, quiet()).bring(t.Context(), Turn{Runner: r}, "m", 2)
+		NewController("n", Config{Leadership: always{}, Client: o, Fleet: f, Notify: func() {}}, quiet()).updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
 		if now := f.Runners("lm"); len(now) != 1 || now[0].Weights["m"] != 1 {
 			t.Errorf("%s of a former life left %+v", result, now)
 		}
--- a/rollout/office.go
+++ b/rollout/office.go
@@ -20,38 +20,38 @@
 	session *lease.Session
 	key     string
 	name    string
-	// pause is how long a process that lost the seat leaves it to the others.
-	pause time.Duration
-	log   logrus.FieldLogger
-
-	mu    sync.Mutex
-	fence int64
-	under store.LeaseID
-	// taken is set while the key is known to be there.
-	taken bool
-	// seeking is set while a try to take it is under way.
-	seeking bool
-	// lost is when the seat was last lost, gone the fence under which it was held.
-	lost clock.Boot
-	gone int64
-	// foreign is the revision of an entry at the key that no holder wrote, found at
+	// backoff is how long a process that lost the seat leaves it to the others.
+	backoff time.Duration
+	log     logrus.FieldLogger
+
+	mu      sync.Mutex
+	fence   int64
+	leaseID store.LeaseID
+	// occupied is set while the key is known to be there.
+	occupied bool
+	// acquiring is set while a try to take it is under way.
+	acquiring bool
+	// lostAt is when the seat was last lostAt, gone the fence under which it was held.
+	lostAt    clock.Boot
+	lostFence int64
+	// foreignRevision is the revision of an entry at the key that no holder wrote, found at
 	// foreignAt; 0 where there is none.
-	foreign   int64
-	foreignAt clock.Boot
+	foreignRevision int64
+	foreignAt       clock.Boot
 }
 
 // NewLeaderLock returns the seat at key for the process that name names in this
 // start. A process that lost it does not seek it for pause: two that take turns
 // might each have orders on the way while the other gives some.
-func NewLeaderLock(s store.Store, session *lease.Session, key, name string, pause time.Duration, log logrus.FieldLogger) *LeaderLock {
-	return &LeaderLock{store: s, session: session, key: key, name: name, pause: pause, log: log}
+func NewLeaderLock(s store.Store, session *lease.Session, key, name string, backoff time.Duration, log logrus.FieldLogger) *LeaderLock {
+	return &LeaderLock{store: s, session: session, key: key, name: name, backoff: backoff, log: log}
 }
 
 // Held implements Office.
 func (s *LeaderLock) Held() (int64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.fence != 0 && s.under == s.session.ID() && s.session.Valid()
+	held := s.fence != 0 && s.leaseID == s.session.ID() && s.session.Valid()
 	return s.fence, held
 }
 
@@ -67,25 +67,25 @@
 func (s *LeaderLock) Observe(value string, revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if revision < s.fence || (value != "" && revision <= s.gone) {
+	if revision < s.fence || (value != "" && revision <= s.lostFence) {
 		return
 	}
-	s.taken, s.foreign = value != "", 0
-	if value == s.name && s.fence == 0 && s.under != "" {
+	s.occupied, s.foreignRevision = value != "", 0
+	if value == s.name && s.fence == 0 && s.leaseID != "" {
 		// A write whose outcome was unknown was carried out after all. Left
 		// alone, the seat would stay with a process that does not know of it.
-		s.adopt(revision)
+		s.markAcquired(revision)
 		return
 	}
 	if s.fence != 0 && (value != s.name || revision != s.fence) {
-		s.lose()
+		s.markLost()
 	}
 }
 
-// lose notes that the seat is held no more; the caller holds mu.
-func (s *LeaderLock) lose() {
-	s.gone, s.fence = s.fence, 0
-	s.lost = clock.Now()
+// markLost notes that the seat is held no more; the caller holds mu.
+func (s *LeaderLock) markLost() {
+	s.lostFence, s.fence = s.fence, 0
+	s.lostAt = clock.Now()
 	s.log.WithField("event", "seat_lost").Warn("another process may give the orders now")
 }
 
@@ -96,52 +96,52 @@
 func (s *LeaderLock) ObserveForeign(revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if revision < s.fence || revision == s.foreign {
+	if revision < s.fence || revision == s.foreignRevision {
 		return
 	}
-	s.taken, s.foreign, s.foreignAt = true, revision, clock.Now()
+	s.occupied, s.foreignRevision, s.foreignAt = true, revision, clock.Now()
 	if s.fence != 0 {
-		s.lose()
+		s.markLost()
 	}
 }
 
-// free reports whether the seat may be sought; the caller holds mu.
-func (s *LeaderLock) free() bool {
-	if s.taken && (s.foreign == 0 || s.foreignAt.Since() < s.pause) {
+// available reports whether the seat may be sought; the caller holds mu.
+func (s *LeaderLock) available() bool {
+	if s.occupied && (s.foreignRevision == 0 || s.foreignAt.Since() < s.backoff) {
 		return false
 	}
-	return !s.seeking && (s.lost == 0 || s.lost.Since() >= s.pause)
+	return !s.acquiring && (s.lostAt == 0 || s.lostAt.Since() >= s.backoff)
 }
 
 // TryAcquire tries to take the seat if it is free.
 func (s *LeaderLock) TryAcquire(ctx context.Context) bool {
 	s.mu.Lock()
 	lease := s.session.ID()
-	if lease == "" || !s.free() {
+	if lease == "" || !s.available() {
 		s.mu.Unlock()
 		return false
 	}
-	s.seeking = true
-	s.under = lease
-	over := s.foreign
+	s.acquiring = true
+	s.leaseID = lease
+	overRevision := s.foreignRevision
 	s.mu.Unlock()
-	fence, err := s.take(ctx, lease, over)
+	fence, err := s.write(ctx, lease, overRevision)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seeking = false
+	s.acquiring = false
 	if errors.Is(err, store.ErrConflict) {
-		s.taken, s.foreign = true, 0
+		s.occupied, s.foreignRevision = true, 0
 	}
 	if err != nil || s.fence != 0 {
 		return s.fence != 0
 	}
-	s.adopt(fence)
+	s.markAcquired(fence)
 	return true
 }
 
-// adopt notes that the seat is held under a fence; the caller holds mu.
-func (s *LeaderLock) adopt(fence int64) {
-	s.taken, s.fence, s.foreign = true, fence, 0
+// markAcquired notes that the seat is held under a fence; the caller holds mu.
+func (s *LeaderLock) markAcquired(fence int64) {
+	s.occupied, s.fence, s.foreignRevision = true, fence, 0
 	s.log.WithFields(logrus.Fields{"event": "seat_taken", "fence": fence}).Info("this process gives the orders now")
 }
 
@@ -151,7 +151,7 @@
 	s.mu.Lock()
 	fence := s.fence
 	if fence != 0 {
-		s.lose()
+		s.markLost()
 	}
 	s.mu.Unlock()
 	if fence == 0 {
@@ -165,9 +165,9 @@
 	return err
 }
 
-// take writes the key over the revision given; 0 is none.
-func (s *LeaderLock) take(ctx context.Context, lease store.LeaseID, over int64) (int64, error) {
-	fence, err := s.store.Put(ctx, s.key, []byte(s.name), over, lease)
+// write writes the key over the revision given; 0 is none.
+func (s *LeaderLock) write(ctx context.Context, lease store.LeaseID, overRevision int64) (int64, error) {
+	fence, err := s.store.Put(ctx, s.key, []byte(s.name), overRevision, lease)
 	if err == nil || errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrUnavailable) {
 		return fence, err
 	}
--- a/rollout/office_test.go
+++ b/rollout/office_test.go
@@ -155,7 +155,7 @@
 	if seat.TryAcquire(t.Context()) || m.writes != 0 {
 		t.Errorf("sought at once with %d writes, while a holder before may not know yet", m.writes)
 	}
-	seat.pause = 0
+	seat.backoff = 0
 	if !seat.TryAcquire(t.Context()) {
 		t.Fatal("the seat stays with nobody")
 	}
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -16,84 +16,84 @@
 	Model   string
 	Desired int64
 	Runners []fleet.Runner
-	// Underway is for how long the orders that have not ended have been given, by id.
-	Underway map[string]time.Duration
+	// InProgress is for how long the orders that have not ended have been given, by id.
+	InProgress map[string]time.Duration
 	// Inflight is how many requests each runner works on, by id, and Long those
 	// of them that take seconds.
 	Inflight map[string]int
-	Long     map[string]int
-	// Behind is for how long each runner has been behind, by id.
-	Behind map[string]time.Duration
-	// AtOnce is the most orders under way, unless the time that is left asks for more.
-	AtOnce int
-	// Bound is for how long after newer weights were named a runner gets requests, 0
+	LongRuns map[string]int
+	// StaleFor is for how long each runner has been behind, by id.
+	StaleFor map[string]time.Duration
+	// MaxConcurrent is the most orders under way, unless the time that is left asks for more.
+	MaxConcurrent int
+	// MaxStaleness is for how long after newer weights were named a runner gets requests, 0
 	// where nothing bounds it, and Each what an order takes.
-	Bound time.Duration
-	Each  time.Duration
+	MaxStaleness  time.Duration
+	OrderDuration time.Duration
 }
 
-// longPatience is how long runners with long runs are left to end them before
+// longRunGrace is how long runners with long runs are left to end them before
 // their order: no new ones go there meanwhile. The runs that remain then end
 // well within the bound on the whole rollout.
-const longPatience = 3 * time.Second
+const longRunGrace = 3 * time.Second
 
-// Reason is why a runner that is behind gets no order at a look.
-type Reason string
+// WaitReason is why a runner that is behind gets no order at a look.
+type WaitReason string
 
 // The reasons; None is that of a runner that gets its order now.
 const (
-	None Reason = ""
-	// Leaving: it ends soon.
-	Leaving Reason = "leaving"
-	// Underway: its order has not ended.
-	Underway Reason = "underway"
+	None WaitReason = ""
+	// Draining: it ends soon.
+	Draining WaitReason = "leaving"
+	// OrderInProgress: its order has not ended.
+	OrderInProgress WaitReason = "underway"
 	// LongRuns: it has long runs that are left to end for a while.
-	LongRuns Reason = "long_runs"
-	// NoPlace: as many orders are under way as may be.
-	NoPlace Reason = "no_place"
+	LongRuns WaitReason = "long_runs"
+	// ConcurrencyLimit: as many orders are under way as may be.
+	ConcurrencyLimit WaitReason = "no_place"
 )
 
-// Reasons are all reasons for which a runner that is behind waits.
-var Reasons = []Reason{Leaving, Underway, LongRuns, NoPlace}
+// WaitReasons are all reasons for which a runner that is behind waits.
+var WaitReasons = []WaitReason{Draining, OrderInProgress, LongRuns, ConcurrencyLimit}
 
-// Turn is what becomes of a runner that is behind.
-type Turn struct {
-	Runner fleet.Runner
-	Wait   Reason
-	// Short is set where its time is short.
-	Short bool
+// Decision is what becomes of a runner that is behind.
+type Decision struct {
+	Runner     fleet.Runner
+	WaitReason WaitReason
+	// Urgent is set where its time is short.
+	Urgent bool
 }
 
-// Turns returns what becomes of each runner that is behind. Those whose time is short
+// Plan returns what becomes of each runner that is behind. Those whose time is short
 // get their order first, by their time: passed over for idler ones at each naming, they
 // would come to their bound one after the other and stand idle until their turn. Of the
 // others those without long runs come first, as they are the soonest done, then those
 // with the oldest weights and the idlest.
-func Turns(in Input) []Turn {
-	var turns []Turn
-	behind := in.behind()
-	d := in.deadlines(behind)
+func Plan(in Input) []Decision {
+	var decisions []Decision
+	stale := in.stale()
+	d := in.deadlines(stale)
 	var due []fleet.Runner
-	for _, r := range behind {
-		if wait := d.wait(r); wait != None {
-			turns = append(turns, Turn{Runner: r, Wait: wait})
+	for _, r := range stale {
+		if wait := d.waitReason(r); wait != None {
+			decisions = append(decisions, Decision{Runner: r, WaitReason: wait})
 		} else {
 			due = append(due, r)
 		}
 	}
 	slices.SortFunc(due, d.compare)
-	room := d.places(due) - len(in.Underway)
+	free := d.concurrency(due) - len(in.InProgress)
 	for i, r := range due {
-		t := Turn{Runner: r, Short: d.short[r.ID]}
-		if i >= room && !d.holdsBack(r) {
-			t.Wait = NoPlace
+		t := Decision{Runner: r, Urgent: d.urgent[r.ID]}
+		if i >= free && !d.bypassesLimit(r) {
+			t.WaitReason = ConcurrencyLimit
 		}
-		turns = append(turns, t)
+		decisions = append(decisions, t)
 	}
-	return turns
+	return decisions
 }
 
-func (in Input) behind() []fleet.Runner {
+func (in Input) stale() []fleet.Runner {
 	var out []fleet.Runner
 	for _, r := range in.Runners {
 		if r.Weights[in.Model] < in.Desired {
@@ -103,32 +103,32 @@
 	return out
 }
 
-// wait returns why a runner that is behind is not due.
-func (d deadlines) wait(r fleet.Runner) Reason {
-	_, underway := d.Underway[r.ID]
+// waitReason returns why a runner that is behind is not due.
+func (d deadlines) waitReason(r fleet.Runner) WaitReason {
+	_, underway := d.InProgress[r.ID]
 	switch {
 	case r.Draining:
-		return Leaving
+		return Draining
 	case underway:
-		return Underway
-	case d.Long[r.ID] > 0 && d.Behind[r.ID] <= longPatience && !d.short[r.ID]:
+		return OrderInProgress
+	case d.LongRuns[r.ID] > 0 && d.StaleFor[r.ID] <= longRunGrace && !d.urgent[r.ID]:
 		return LongRuns
 	}
 	return None
 }
 
 func (d deadlines) compare(a, b fleet.Runner) int {
-	if d.short[a.ID] || d.short[b.ID] {
+	if d.urgent[a.ID] || d.urgent[b.ID] {
 		return cmp.Or(
-			cmp.Compare(d.left(a), d.left(b)),
-			d.compareIdle(a, b))
+			cmp.Compare(d.timeLeft(a), d.timeLeft(b)),
+			d.compareLoad(a, b))
 	}
-	return d.compareIdle(a, b)
+	return d.compareLoad(a, b)
 }
 
-func (d deadlines) compareIdle(a, b fleet.Runner) int {
+func (d deadlines) compareLoad(a, b fleet.Runner) int {
 	return cmp.Or(
-		cmp.Compare(d.Long[a.ID], d.Long[b.ID]),
+		cmp.Compare(d.LongRuns[a.ID], d.LongRuns[b.ID]),
 		cmp.Compare(a.Weights[d.Model], b.Weights[d.Model]),
 		cmp.Compare(d.Inflight[a.ID], d.Inflight[b.ID]),
 		cmp.Compare(a.ID, b.ID))
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -22,8 +22,8 @@
 // ordered returns the runners that get an order now.
 func ordered(in Input) []fleet.Runner {
 	var out []fleet.Runner
-	for _, t := range Turns(in) {
-		if t.Wait == None {
+	for _, t := range Plan(in) {
+		if t.WaitReason == None {
 			out = append(out, t.Runner)
 		}
 	}
@@ -47,17 +47,17 @@
 		in   Input
 		want string
 	}{
-		{"the oldest first", Input{Desired: 4, Runners: runnersAt(3, 1, 2), AtOnce: 2}, "[r1 r2]"},
-		{"the idlest of equals", Input{Desired: 2, Runners: runnersAt(1, 1), Inflight: map[string]int{"r0": 3}, AtOnce: 1}, "[r1]"},
-		{"none beyond the room", Input{Desired: 2, Runners: runnersAt(1, 1), Underway: map[string]time.Duration{"r0": 0}, AtOnce: 1}, "[]"},
-		{"long runs wait", Input{Desired: 2, Runners: runnersAt(1, 1), Long: map[string]int{"r0": 1}, AtOnce: 2}, "[r1]"},
-		{"long runs wait for so long only", Input{Desired: 2, Runners: runnersAt(1), Long: map[string]int{"r0": 1}, Behind: map[string]time.Duration{"r0": longPatience + 1}, AtOnce: 1}, "[r0]"},
-		{"who is short of time before the idler", Input{Desired: 3, Runners: runnersAt(2, 1), Long: map[string]int{"r1": 1}, Behind: map[string]time.Duration{"r0": time.Second, "r1": 8 * time.Second}, AtOnce: 1, Bound: 10 * time.Second, Each: 4 * time.Second}, "[r1]"},
-		{"the idler while time is left", Input{Desired: 3, Runners: runnersAt(2, 1), Long: map[string]int{"r1": 1}, Behind: map[string]time.Duration{"r0": time.Second, "r1": 4 * time.Second}, AtOnce: 1, Bound: 10 * time.Second, Each: 2 * time.Second}, "[r0]"},
-		{"more at once where few don't end in time", Input{Desired: 2, Runners: runnersAt(1, 1, 1, 1, 1, 1, 1, 1), Behind: sameFor(8, 2*time.Second), AtOnce: 1, Bound: 10 * time.Second, Each: 3 * time.Second}, "[r0 r1 r2 r3]"},
-		{"who gets nothing any more and has some waiting, at once", Input{Desired: 2, Runners: runnersAt(1, 1), Underway: map[string]time.Duration{"r0": 0}, Inflight: map[string]int{"r1": 2}, Behind: sameFor(2, 11*time.Second), AtOnce: 1, Bound: 10 * time.Second, Each: time.Second}, "[r1]"},
-		{"who gets nothing any more and is idle, in its turn", Input{Desired: 2, Runners: runnersAt(1, 1), Underway: map[string]time.Duration{"r0": 0}, Behind: sameFor(2, 11*time.Second), AtOnce: 1, Bound: 10 * time.Second, Each: time.Second}, "[]"},
-		{"those that leave are left alone", Input{Desired: 2, Runners: []fleet.Runner{{ID: "r0", Draining: true}}, AtOnce: 1}, "[]"},
+		{"the oldest first", Input{Desired: 4, Runners: runnersAt(3, 1, 2), MaxConcurrent: 2}, "[r1 r2]"},
+		{"the idlest of equals", Input{Desired: 2, Runners: runnersAt(1, 1), Inflight: map[string]int{"r0": 3}, MaxConcurrent: 1}, "[r1]"},
+		{"none beyond the room", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, MaxConcurrent: 1}, "[]"},
+		{"long runs wait", Input{Desired: 2, Runners: runnersAt(1, 1), LongRuns: map[string]int{"r0": 1}, MaxConcurrent: 2}, "[r1]"},
+		{"long runs wait for so long only", Input{Desired: 2, Runners: runnersAt(1), LongRuns: map[string]int{"r0": 1}, StaleFor: map[string]time.Duration{"r0": longRunGrace + 1}, MaxConcurrent: 1}, "[r0]"},
+		{"who is short of time before the idler", Input{Desired: 3, Runners: runnersAt(2, 1), LongRuns: map[string]int{"r1": 1}, StaleFor: map[string]time.Duration{"r0": time.Second, "r1": 8 * time.Second}, MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: 4 * time.Second}, "[r1]"},
+		{"the idler while time is left", Input{Desired: 3, Runners: runnersAt(2, 1), LongRuns: map[string]int{"r1": 1}, StaleFor: map[string]time.Duration{"r0": time.Second, "r1": 4 * time.Second}, MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: 2 * time.Second}, "[r0]"},
+		{"more at once where few don't end in time", Input{Desired: 2, Runners: runnersAt(1, 1, 1, 1, 1, 1, 1, 1), StaleFor: sameFor(8, 2*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: 3 * time.Second}, "[r0 r1 r2 r3]"},
+		{"who gets nothing any more and has some waiting, at once", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, Inflight: map[string]int{"r1": 2}, StaleFor: sameFor(2, 11*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: time.Second}, "[r1]"},
+		{"who gets nothing any more and is idle, in its turn", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, StaleFor: sameFor(2, 11*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: time.Second}, "[]"},
+		{"those that leave are left alone", Input{Desired: 2, Runners: []fleet.Runner{{ID: "r0", Draining: true}}, MaxConcurrent: 1}, "[]"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.in.Model = "m"
@@ -78,7 +78,7 @@
 func TestRolloutEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runners := runnersAt(rapid.SliceOfN(rapid.Int64Range(1, 3), 1, 30).Draw(t, "versions")...)
-		in := Input{Model: "m", Desired: 3, Runners: runners, AtOnce: new(forecast.Loads).AtOnce(len(runners)), Underway: map[string]time.Duration{}}
+		in := Input{Model: "m", Desired: 3, Runners: runners, MaxConcurrent: new(forecast.Loads).AtOnce(len(runners)), InProgress: map[string]time.Duration{}}
 		given := map[string]bool{}
 		for step := 0; step < 200; step++ {
 			if step == 5 {
@@ -90,11 +90,11 @@
 					t.Fatalf("ordered %s twice", order)
 				}
 				given[order] = true
-				in.Underway[r.ID] = 0
+				in.InProgress[r.ID] = 0
 				runnerOf(runners, r.ID).Weights["m"] = in.Desired
 			}
 			if step%2 == 1 {
-				in.Underway = map[string]time.Duration{}
+				in.InProgress = map[string]time.Duration{}
 			}
 		}
 		for _, r := range runners {
@@ -135,27 +135,27 @@
 	runners := runnersAt(make([]int64, n)...)
 	named := []time.Duration{0}
 	ends := map[string]time.Duration{}
-	in := Input{Model: "m", Runners: runners, Long: map[string]int{}, AtOnce: new(forecast.Loads).AtOnce(n), Bound: bound, Each: each}
+	in := Input{Model: "m", Runners: runners, LongRuns: map[string]int{}, MaxConcurrent: new(forecast.Loads).AtOnce(n), MaxStaleness: bound, OrderDuration: each}
 	for i, l := range long {
-		in.Long[runners[i].ID] = l
+		in.LongRuns[runners[i].ID] = l
 	}
 	for now := time.Duration(0); now < time.Minute; now += step {
 		if now-named[len(named)-1] >= names {
 			named = append(named, now)
 		}
 		in.Desired = int64(len(named))
-		in.Behind, in.Underway = map[string]time.Duration{}, map[string]time.Duration{}
+		in.StaleFor, in.InProgress = map[string]time.Duration{}, map[string]time.Duration{}
 		for _, r := range runners {
 			if end, ok := ends[r.ID]; ok && now >= end {
 				delete(ends, r.ID)
 			} else if ok {
-				in.Underway[r.ID] = each - (end - now)
+				in.InProgress[r.ID] = each - (end - now)
 			}
 			if at := r.Weights["m"]; at < in.Desired {
-				in.Behind[r.ID] = now - named[at]
+				in.StaleFor[r.ID] = now - named[at]
 			}
-			if _, ok := ends[r.ID]; !ok && in.Behind[r.ID] > bound {
-				t.Fatalf("%s has weights %d at %v, replaced for %v, and no order", r.ID, r.Weights["m"], now, in.Behind[r.ID])
+			if _, ok := ends[r.ID]; !ok && in.StaleFor[r.ID] > bound {
+				t.Fatalf("%s has weights %d at %v, replaced for %v, and no order", r.ID, r.Weights["m"], now, in.StaleFor[r.ID])
 			}
 		}
 		for _, r := range ordered(in) {
--- a/rollout/waiting.go
+++ b/rollout/waiting.go
@@ -20,78 +20,78 @@
 	return &Metrics{waiting: telemetry.NewGauge(r, "keel_node_orders_waiting", "Runners on older weights that got no order at the last look, by reason.", "reason")}
 }
 
-// saidFrom is for how long a runner must be behind before the log says why: a
+// logAfter is for how long a runner must be behind before the log says why: a
 // rollout of idle runners ends sooner.
-const saidFrom = 3 * time.Second
+const logAfter = 3 * time.Second
 
-// waiting tells why runners that are behind get no order: in the gauges after each
+// waitReporter tells why runners that are behind get no order: in the gauges after each
 // look, and in the log once a change of a runner's reason. Only the goroutine that
 // looks uses it.
-type waiting struct {
+type waitReporter struct {
 	metrics *Metrics
 	log     logrus.FieldLogger
-	counts  map[Reason]int
-	// said are the reasons that the log has, and now those of the look under way.
-	said, now map[waiter]Reason
+	counts  map[WaitReason]int
+	// logged are the reasons that the log has, and current those of the look under way.
+	logged, current map[staleRunner]WaitReason
 }
 
-// waiter is a life of a runner that is behind in a model's weights.
-type waiter struct {
+// staleRunner is a life of a runner that is behind in a model's weights.
+type staleRunner struct {
 	life  fleet.Life
 	model string
 }
 
-func newWaiting(m *Metrics, log logrus.FieldLogger) waiting {
-	return waiting{metrics: m, log: log, said: map[waiter]Reason{}}
+func newWaitReporter(m *Metrics, log logrus.FieldLogger) waitReporter {
+	return waitReporter{metrics: m, log: log, logged: map[staleRunner]WaitReason{}}
 }
 
-// begin begins a look.
-func (w *waiting) begin() {
-	w.counts, w.now = map[Reason]int{}, map[waiter]Reason{}
+// beginPass begins a look.
+func (w *waitReporter) beginPass() {
+	w.counts, w.current = map[WaitReason]int{}, map[staleRunner]WaitReason{}
 }
 
-// note takes what becomes of the runners of a model.
-func (w *waiting) note(in Input, turns []Turn) {
-	for _, t := range turns {
-		w.counts[t.Wait]++
-		behind := in.Behind[t.Runner.ID]
-		if behind < saidFrom {
+// record takes what becomes of the runners of a model.
+func (w *waitReporter) record(in Input, decisions []Decision) {
+	for _, t := range decisions {
+		w.counts[t.WaitReason]++
+		staleFor := in.StaleFor[t.Runner.ID]
+		if staleFor < logAfter {
 			continue
 		}
-		key := waiter{t.Runner.Life(), in.Model}
-		w.now[key] = t.Wait
-		if t.Wait == None || w.said[key] == t.Wait {
+		key := staleRunner{t.Runner.Life(), in.Model}
+		w.current[key] = t.WaitReason
+		if t.WaitReason == None || w.logged[key] == t.WaitReason {
 			continue
 		}
 		w.log.WithFields(logrus.Fields{
-			"event": "order_waits", "runner": t.Runner.ID, "born": t.Runner.Born, "model": in.Model, "reason": t.Wait,
-			"weights": t.Runner.Weights[in.Model], "newest": in.Desired, "behind_ms": behind.Milliseconds(),
-			"inflight": in.Inflight[t.Runner.ID], "long": in.Long[t.Runner.ID],
-			"underway_ms": in.Underway[t.Runner.ID].Milliseconds(), "underway": len(in.Underway), "at_once": in.AtOnce,
+			"event": "order_waits", "runner": t.Runner.ID, "born": t.Runner.Born, "model": in.Model, "reason": t.WaitReason,
+			"weights": t.Runner.Weights[in.Model], "newest": in.Desired, "behind_ms": staleFor.Milliseconds(),
+			"inflight": in.Inflight[t.Runner.ID], "long": in.LongRuns[t.Runner.ID],
+			"underway_ms": in.InProgress[t.Runner.ID].Milliseconds(), "underway": len(in.InProgress), "at_once": in.MaxConcurrent,
 		}).Info("a runner on older weights gets no order yet")
 	}
 }
 
-// end ends a look.
-func (w *waiting) end() {
-	w.said = w.now
-	w.show()
+// endPass ends a look.
+func (w *waitReporter) endPass() {
+	w.logged = w.current
+	w.updateGauges()
 }
 
-// none notes that this process gives no orders.
-func (w *waiting) none() {
+// reset notes that this process gives no orders.
+func (w *waitReporter) reset() {
 	if len(w.counts) == 0 {
 		return
 	}
-	w.counts, w.said = nil, map[waiter]Reason{}
-	w.show()
+	w.counts, w.logged = nil, map[staleRunner]WaitReason{}
+	w.updateGauges()
 }
 
-func (w *waiting) show() {
+func (w *waitReporter) updateGauges() {
 	if w.metrics == nil {
 		return
 	}
-	for _, reason := range Reasons {
+	for _, reason := range WaitReasons {
 		w.metrics.waiting.WithLabelValues(string(reason)).Set(float64(w.counts[reason]))
 	}
 }
