--- a/admission/queue.go
+++ b/admission/queue.go
@@ -1,7 +1,7 @@
-// Package admission decides which waiting request an agent gives its target
-// next and which it refuses: a bounded queue with priority classes, fair
-// between customers by weight, aware of deadlines. It is pure: time and
-// requests in, verdicts out. It is not safe for concurrent use.
+// Package admission decides which waiting request an agent sends to its target next and
+// which requests it refuses. The queue is bounded, has priority classes, is fair
+// between customers by weight, and respects deadlines. The package does no I/O and
+// reads no clock; callers pass in the time. It is not safe for concurrent use.
 package admission
 
 import (
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Limits bound the queue.
 type Limits struct {
-	// MaxLength is the most requests that wait.
+	// MaxLength is the maximum number of waiting requests.
 	MaxLength int
-	// MaxWait is the longest expected wait that is taken on, whatever the caller's deadline.
+	// MaxWait is the longest expected wait with which a request is accepted, whatever
+	// its deadline.
 	MaxWait time.Duration
 }
 
@@ -21,49 +21,49 @@
 type Item struct {
 	ID       string
 	Customer string
-	// Weight is the customer's share; Priority is 0 (first) to 3.
+	// Weight is the customer's share; Priority ranges from 0 (first) to 3.
 	Weight   int
 	Priority int
-	// Cost is the target's time that the request takes before its first answer.
+	// Cost is the target time that the request uses before its first token.
 	Cost time.Duration
-	// Deadline is when the caller stops waiting for the first token; zero is never.
+	// Deadline is when the caller stops waiting for the first token; zero means never.
 	Deadline time.Time
-	// PrefixHashes are the prompt's boundaries, shortest first.
+	// PrefixHashes are the hashes at the prompt's prefix boundaries, shortest prefix
+	// first.
 	PrefixHashes []uint64
 
-	start    float64
+	startTag float64
 	arrival  uint64
 	enqueued time.Time
 }
 
-// account is one customer's place in the fair order.
+// account is the state of one customer in the fair queue.
 type account struct {
-	// finish is the virtual time up to which the customer was served.
-	finish float64
-	queued int
+	// finishTag is the virtual time at which the customer's last queued request ends.
+	finishTag float64
+	queued    int
 }
 
-// Queue is the state.
+// Queue is a weighted fair queue with priority classes.
 type Queue struct {
 	limits   Limits
 	items    []*Item
 	accounts map[string]*account
-	// virtual is the start tag of the last request given to the target.
-	virtual  float64
-	arrivals uint64
+	// virtualTime is the highest start tag of the requests sent to the target.
+	virtualTime float64
+	arrivals    uint64
 }
 
-// NewQueue returns an empty queue.
 func NewQueue(l Limits) *Queue {
 	return &Queue{limits: l, accounts: map[string]*account{}}
 }
 
-// Len returns how many requests wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int {
 	return len(q.items)
 }
 
-// Cost returns the target's time that all waiting requests take.
+// Cost returns the total target time of the waiting requests.
 func (q *Queue) Cost() time.Duration {
 	var sum time.Duration
 	for _, item := range q.items {
@@ -72,30 +72,30 @@
 	return sum
 }
 
-// Backlog is what stands before a request.
+// Backlog is the work ahead of a request.
 type Backlog struct {
-	// Cost is the target's time that the requests ahead take, and Count how many they are.
+	// Cost is the target time of the requests ahead, and Count their number.
 	Cost  time.Duration
 	Count int
 }
 
-// Ahead returns the waiting requests that would now go before a new one of
+// Ahead returns the waiting requests that would currently be served before a new one of
 // the customer. Placement compares runners by it.
 func (q *Queue) Ahead(customer string, priority int) Backlog {
 	start := q.startTag(customer)
-	var line Backlog
+	var backlog Backlog
 	for _, item := range q.items {
-		if item.Priority < priority || (item.Priority == priority && item.start <= start) {
-			line.add(item.Cost)
+		if item.Priority < priority || (item.Priority == priority && item.startTag <= start) {
+			backlog.add(item.Cost)
 		}
 	}
-	return line
+	return backlog
 }
 
-// ExpectedBacklog returns what will have gone before a new request of the customer when
-// its turn comes: its own waiting requests, times the customers that share
-// the target with it, since theirs that come later go in between. Admission
-// judges by it whether the wait is within bounds.
+// ExpectedBacklog returns the work expected to be served before a new request of the
+// customer: the customer's own waiting requests times the number of customers that
+// share the target, since requests of the others that arrive later are interleaved with
+// them. Admission checks the maximum wait against it.
 func (q *Queue) ExpectedBacklog(customer string, priority int) Backlog {
 	var own Backlog
 	for _, item := range q.items {
@@ -103,9 +103,9 @@
 			own.add(item.Cost)
 		}
 	}
-	sharers := q.sharers(customer)
-	own.Cost *= time.Duration(sharers)
-	own.Count *= sharers
+	active := q.activeCustomers(customer)
+	own.Cost *= time.Duration(active)
+	own.Count *= active
 	ahead := q.Ahead(customer, priority)
 	return Backlog{Cost: max(ahead.Cost, own.Cost), Count: max(ahead.Count, own.Count)}
 }
@@ -115,12 +115,12 @@
 	l.Count++
 }
 
-// sharers returns how many customers, weighed against the given one, have
-// requests waiting or were served beyond the present, it among them.
-func (q *Queue) sharers(customer string) int {
+// activeCustomers returns the number of customers, including the given one, that have
+// waiting requests or a finish tag beyond the virtual time.
+func (q *Queue) activeCustomers(customer string) int {
 	n := 1
 	for name, a := range q.accounts {
-		if name != customer && (a.queued > 0 || a.finish > q.virtual) {
+		if name != customer && (a.queued > 0 || a.finishTag > q.virtualTime) {
 			n++
 		}
 	}
@@ -130,24 +130,23 @@
 func (q *Queue) startTag(customer string) float64 {
 	a := q.accounts[customer]
 	if a == nil {
-		return q.virtual
+		return q.virtualTime
 	}
-	return max(q.virtual, a.finish)
+	return max(q.virtualTime, a.finishTag)
 }
 
-// PushResult is what Push decided: Refused is empty when the request waits.
-// Evicted, where set, is a waiting request that gave its place up.
+// PushResult is the outcome of Push. Refused is empty if the request was queued.
+// Evicted, if set, is a waiting request that was removed to make room for it.
 type PushResult struct {
 	Refused Reason
 	Evicted *Item
-	// RetryAfter is when room is expected, for whichever request was refused.
+	// RetryAfter is when room is expected, for the request that was refused or evicted.
 	RetryAfter time.Duration
 }
 
 // Reason is why a request was refused.
 type Reason string
 
-// The reasons for a refusal.
 const (
 	Admitted      Reason = ""
 	QueueFull     Reason = "queue_full"
@@ -155,8 +154,8 @@
 	Canceled      Reason = "canceled"
 )
 
-// Push puts a request into the queue. Wait is how long it will wait there, by
-// what the target has and what stands ahead. A refusal is immediate and final.
+// Push adds a request to the queue. wait is its expected wait, given the load of the
+// target and the backlog. A refusal is immediate and final.
 func (q *Queue) Push(item *Item, wait time.Duration, now time.Time) PushResult {
 	if wait > q.limits.MaxWait {
 		return PushResult{Refused: QueueFull, RetryAfter: wait - q.limits.MaxWait + item.Cost}
@@ -166,7 +165,7 @@
 	}
 	var evicted *Item
 	if len(q.items) >= q.limits.MaxLength {
-		evicted = q.overdrawn(item)
+		evicted = q.evictionCandidate(item)
 		if evicted == nil {
 			return PushResult{Refused: QueueFull, RetryAfter: q.meanCost()}
 		}
@@ -180,11 +179,11 @@
 	return q.Cost() / time.Duration(max(1, len(q.items)))
 }
 
-// overdrawn returns the waiting request that should give its place up to
-// item: the last in line, if it comes after item. So a customer that floods
-// the queue loses its own requests and nobody else's.
-func (q *Queue) overdrawn(item *Item) *Item {
-	last := &Item{Priority: item.Priority, start: q.startTag(item.Customer), arrival: q.arrivals + 1}
+// evictionCandidate returns the waiting request to evict in favour of item: the last
+// one in order of service, if it comes after item. A customer that floods the queue
+// therefore loses only its own requests.
+func (q *Queue) evictionCandidate(item *Item) *Item {
+	last := &Item{Priority: item.Priority, startTag: q.startTag(item.Customer), arrival: q.arrivals + 1}
 	var victim *Item
 	for _, waiting := range q.items {
 		if before(last, waiting) {
@@ -203,46 +202,45 @@
 	q.arrivals++
 	item.arrival = q.arrivals
 	item.enqueued = now
-	item.start = q.startTag(item.Customer)
-	a.finish = item.start + item.Cost.Seconds()/float64(max(1, item.Weight))
+	item.startTag = q.startTag(item.Customer)
+	a.finishTag = item.startTag + item.Cost.Seconds()/float64(max(1, item.Weight))
 	a.queued++
 	q.items = append(q.items, item)
 }
 
-// before is the order of service.
+// before reports whether a is served before b.
 func before(a, b *Item) bool {
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
 	}
-	if a.start != b.start {
-		return a.start < b.start
+	if a.startTag != b.startTag {
+		return a.startTag < b.startTag
 	}
 	return a.arrival < b.arrival
 }
 
-// DispatchDecision says whether a request may be given to the target now.
+// DispatchDecision says whether a request may be sent to the target now.
 type DispatchDecision int
 
-// The verdicts on a request in line.
 const (
-	// Dispatch: the target can take it.
+	// Dispatch: the target can take the request.
 	Dispatch DispatchDecision = iota
-	// Skip: not yet; those behind it may go first.
+	// Skip: not yet; requests behind it may be sent first.
 	Skip
-	// Block: not yet, and it has been passed for long enough: nobody behind
-	// it goes first. Without this a long request would starve behind short ones.
+	// Block: not yet, and it has been skipped for so long that no request behind it may
+	// be sent first. Without this, a long request would starve behind short ones.
 	Block
 )
 
-// Next takes out the request to give to the target: the first in line that
-// hold lets go. It returns nil where there is none.
-func (q *Queue) Next(hold func(*Item) DispatchDecision) *Item {
+// Next removes and returns the first request in order of service for which decide
+// returns Dispatch. It returns nil if there is none.
+func (q *Queue) Next(decide func(*Item) DispatchDecision) *Item {
 	slices.SortFunc(q.items, compare)
 	for _, item := range q.items {
-		switch hold(item) {
+		switch decide(item) {
 		case Dispatch:
-			q.virtual = max(q.virtual, item.start)
-			q.take(item)
+			q.virtualTime = max(q.virtualTime, item.startTag)
+			q.unlink(item)
 			return item
 		case Block:
 			return nil
@@ -258,40 +256,41 @@
 	return 1
 }
 
-// RemoveExpired takes out the requests whose caller has stopped waiting.
+// RemoveExpired removes and returns the requests whose callers have stopped waiting.
 func (q *Queue) RemoveExpired(now time.Time) []*Item {
-	var late []*Item
+	var expired []*Item
 	for _, item := range q.items {
 		if !item.Deadline.IsZero() && now.After(item.Deadline) {
-			late = append(late, item)
+			expired = append(expired, item)
 		}
 	}
-	for _, item := range late {
+	for _, item := range expired {
 		q.refund(item)
-		q.take(item)
+		q.unlink(item)
 	}
-	return late
+	return expired
 }
 
-// Remove takes out a request that was given up, and reports whether it waited.
+// Remove removes a request that was canceled, and reports whether it was waiting.
 func (q *Queue) Remove(id string) bool {
 	for _, item := range q.items {
 		if item.ID == id {
 			q.refund(item)
-			q.take(item)
+			q.unlink(item)
 			return true
 		}
 	}
 	return false
 }
 
-// refund gives a customer back the share of a request that never ran.
+// refund takes back the virtual time charged to a customer for a request that never
+// ran.
 func (q *Queue) refund(item *Item) {
 	a := q.accounts[item.Customer]
-	a.finish -= item.Cost.Seconds() / float64(max(1, item.Weight))
+	a.finishTag -= item.Cost.Seconds() / float64(max(1, item.Weight))
 }
 
-func (q *Queue) take(item *Item) {
+func (q *Queue) unlink(item *Item) {
 	for i, waiting := range q.items {
 		if waiting == item {
 			q.items = append(q.items[:i], q.items[i+1:]...)
@@ -300,13 +299,14 @@
 	}
 	a := q.accounts[item.Customer]
 	a.queued--
-	// A customer that was served up to the present has no history to keep.
-	if a.queued == 0 && a.finish <= q.virtual {
+	// A customer whose finish tag is not beyond the virtual time starts as a new one
+	// would.
+	if a.queued == 0 && a.finishTag <= q.virtualTime {
 		delete(q.accounts, item.Customer)
 	}
 }
 
-// Waited returns how long the item has waited by now.
+// Waited returns how long the item has been waiting at now.
 func (i *Item) Waited(now time.Time) time.Duration {
 	return now.Sub(i.enqueued)
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -11,11 +11,11 @@
 
 var start = time.Unix(1000, 0)
 
-func never(*Item) DispatchDecision { return Dispatch }
+func dispatchAll(*Item) DispatchDecision { return Dispatch }
 
-// TestSessions runs whole sessions of a queue from golden files. Commands:
-// push, next, remove, expire, at; each prints what the queue decided.
-func TestSessions(t *testing.T) {
+// TestQueueScripts runs scripted sequences of queue operations from golden files. The
+// commands push, next, remove and at print what the queue decided.
+func TestQueueScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		q := NewQueue(Limits{MaxLength: 4, MaxWait: 2 * time.Second})
 		now := start
@@ -45,7 +45,7 @@
 		decision := q.Push(item, wait, *now)
 		return describe(q, decision)
 	case "next":
-		if item := q.Next(never); item != nil {
+		if item := q.Next(dispatchAll); item != nil {
 			return item.ID + "\n"
 		}
 		return "nothing\n"
@@ -72,9 +72,9 @@
 	return fmt.Sprintf("taken, waiting %d\n", q.Len())
 }
 
-// With one customer flooding, equal customers that always have work are
-// served equally, whatever the costs and the order of arrival.
-func TestFairBetweenCustomers(t *testing.T) {
+// A customer that floods the queue must not take service from the others: customers
+// that always have work are served equally whatever their costs and order of arrival.
+func TestFairnessBetweenCustomers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(Limits{MaxLength: 1000, MaxWait: time.Hour})
 		costs := rapid.SliceOfN(rapid.IntRange(1, 50), 5, 20).Draw(t, "costs")
@@ -93,7 +93,7 @@
 			for _, c := range customers {
 				push(c)
 			}
-			item := q.Next(never)
+			item := q.Next(dispatchAll)
 			served[item.Customer] += item.Cost
 		}
 		for _, c := range customers {
@@ -104,7 +104,7 @@
 	})
 }
 
-// No request is lost or served twice, whatever the order of pushes, evictions,
+// No request may be lost or served twice, whatever the order of pushes, evictions,
 // removals and expiries.
 func TestEveryRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -132,7 +132,7 @@
 					ended[d.Evicted.ID]++
 				}
 			case 2:
-				if item := q.Next(never); item != nil {
+				if item := q.Next(dispatchAll); item != nil {
 					ended[item.ID]++
 				}
 			case 3:
@@ -141,7 +141,7 @@
 				}
 			}
 		}
-		for item := q.Next(never); item != nil; item = q.Next(never) {
+		for item := q.Next(dispatchAll); item != nil; item = q.Next(dispatchAll) {
 			ended[item.ID]++
 		}
 		if len(ended) != pushed {
@@ -171,8 +171,8 @@
 	}
 }
 
-// A long request must not wait for ever while short ones pass it.
-func TestBlockedRequestIsNotPassed(t *testing.T) {
+// A long request must not starve while short ones overtake it.
+func TestBlockedRequestIsNotOvertaken(t *testing.T) {
 	q := NewQueue(Limits{MaxLength: 10, MaxWait: time.Hour})
 	q.Push(&Item{ID: "long", Customer: "a", Cost: time.Second}, 0, start)
 	q.Push(&Item{ID: "short", Customer: "b", Cost: time.Millisecond}, 0, start)
--- a/admission/reservation.go
+++ b/admission/reservation.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Reservations are short promises of an agent's time to entries that asked,
-// so that many entries that choose at once don't all choose one idle target.
+// Reservations are short-lived claims of entries on an agent's time. They keep many
+// entries that choose a target at the same moment from all choosing the same idle one.
 type Reservations struct {
-	ttl  time.Duration
-	held map[uint64]reservation
+	ttl    time.Duration
+	active map[uint64]reservation
 }
 
 type reservation struct {
@@ -14,36 +14,36 @@
 	expires time.Time
 }
 
-// maxReservations bounds the memory of reservations; past it none is made.
+// maxReservations bounds the memory in use; beyond it no reservation is made.
 const maxReservations = 1024
 
-// NewReservations returns reservations that lapse after ttl.
+// NewReservations returns reservations that expire after ttl.
 func NewReservations(ttl time.Duration) *Reservations {
-	return &Reservations{ttl: ttl, held: map[uint64]reservation{}}
+	return &Reservations{ttl: ttl, active: map[uint64]reservation{}}
 }
 
 // Reserve reserves cost under id.
 func (r *Reservations) Reserve(id uint64, cost time.Duration, now time.Time) {
-	if id == 0 || len(r.held) >= maxReservations {
+	if id == 0 || len(r.active) >= maxReservations {
 		return
 	}
-	r.held[id] = reservation{cost: cost, expires: now.Add(r.ttl)}
+	r.active[id] = reservation{cost: cost, expires: now.Add(r.ttl)}
 }
 
-// Release ends the reservation id, because its request came or went elsewhere.
+// Release ends the reservation id because its request arrived or was sent elsewhere.
 func (r *Reservations) Release(id uint64) {
-	delete(r.held, id)
+	delete(r.active, id)
 }
 
-// Cost returns the time reserved now.
+// Cost returns the total time that is reserved at now.
 func (r *Reservations) Cost(now time.Time) time.Duration {
 	var sum time.Duration
-	for id, held := range r.held {
-		if now.After(held.expires) {
-			delete(r.held, id)
+	for id, res := range r.active {
+		if now.After(res.expires) {
+			delete(r.active, id)
 			continue
 		}
-		sum += held.cost
+		sum += res.cost
 	}
 	return sum
 }
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -1,24 +1,24 @@
 package placement
 
-// Filter reports whether a runner may be asked.
+// Filter reports whether a runner is a candidate.
 type Filter func(r *Runner) bool
 
-// NotDraining leaves out runners that take no new work.
+// NotDraining excludes runners that accept no new work.
 func NotDraining(r *Runner) bool {
 	return !r.Draining
 }
 
-// InRegion keeps the runners of one region; an empty region keeps all.
+// InRegion keeps the runners of one region; an empty region keeps all of them.
 func InRegion(region string) Filter {
 	return func(r *Runner) bool {
 		return region == "" || r.Region == region
 	}
 }
 
-// Except leaves out runners that were tried for this request already.
-func Except(tried []string) Filter {
+// Except excludes runners to which the request was already sent.
+func Except(excluded []string) Filter {
 	return func(r *Runner) bool {
-		for _, name := range tried {
+		for _, name := range excluded {
 			if r.Name == name {
 				return false
 			}
@@ -27,7 +27,8 @@
 	}
 }
 
-// Apply returns the indices of the runners that pass every filter, in out.
+// Apply returns the indices of the runners that pass all filters. It reuses the memory
+// of out.
 func Apply(runners []Runner, out []int32, filters ...Filter) []int32 {
 	out = out[:0]
 	for i := range runners {
--- a/placement/home.go
+++ b/placement/home.go
@@ -7,10 +7,10 @@
 	"acaciakeel/prefix"
 )
 
-// RankTargets returns the targets of a plain service in the order in which a
-// call's key goes to them. The first is the key's home. It ranks the
-// configured targets, dead ones included, so that entries and agents that
-// hold the same configuration agree whatever each sees of the links.
+// RankTargets returns the targets of a plain service in the order in which calls with
+// the key are sent to them; the first one owns the key. It ranks all configured
+// targets, including those that are down, so that entries and agents with the same
+// configuration agree even if they see different link states.
 func RankTargets(targets []string, key string) []string {
 	hash := prefix.NameHash(key)
 	order := slices.Clone(targets)
--- a/placement/order.go
+++ b/placement/order.go
@@ -6,26 +6,26 @@
 	"acaciakeel/prefix"
 )
 
-// ranked is a runner's index with its score under one level's hash.
-type ranked struct {
+// scoredRunner is the index of a runner with its rendezvous score at one level.
+type scoredRunner struct {
 	score uint64
 	index int32
 }
 
-// Ranker ranks runners. It keeps scratch space, so each goroutine has its own.
+// Ranker ranks runners. It reuses its buffer, so each goroutine needs its own Ranker.
 type Ranker struct {
-	pool []ranked
+	candidates []scoredRunner
 }
 
-// Rank returns the first m of the runners at indices, best first. The
-// outermost level's hash ranks all runners and its width cuts a subset; the
-// next level ranks inside that subset, and so on. So prompts that share a
-// level share its runners, and a prompt spills first to runners that hold its
-// outer levels: the rest of the innermost subset, then the rest of the one
-// around it. Widths are in runners, outermost first; the innermost level
-// needs none. The result is valid until the next call.
-func (o *Ranker) Rank(runners []Runner, indices []int32, levels []prefix.Boundary, widths []int, m int) []int32 {
-	o.pool = o.pool[:0]
+// Rank returns the first m of the runners at indices, best first. The hash of the
+// outermost level ranks all runners, and the width of that level cuts off a subset; the
+// next level ranks within that subset, and so on. Prompts that share a level therefore
+// share its runners, and a prompt overflows first to runners that hold its outer
+// levels: the rest of the innermost subset, then the rest of the enclosing one. Widths
+// are numbers of runners, outermost level first; the innermost level needs none. The
+// result is valid until the next call.
+func (r *Ranker) Rank(runners []Runner, indices []int32, levels []prefix.Boundary, widths []int, m int) []int32 {
+	r.candidates = r.candidates[:0]
 	keep := m
 	if len(levels) > 1 {
 		keep = max(m, width(widths, 0))
@@ -37,25 +37,25 @@
 	worst := uint64(0)
 	for _, i := range indices {
 		score := prefix.RendezvousScore(runners[i].hash, hash)
-		if len(o.pool) == keep && score <= worst {
+		if len(r.candidates) == keep && score <= worst {
 			continue
 		}
-		o.insert(ranked{score, i}, keep)
-		worst = o.pool[len(o.pool)-1].score
+		r.insert(scoredRunner{score, i}, keep)
+		worst = r.candidates[len(r.candidates)-1].score
 	}
-	inner := len(o.pool)
+	inner := len(r.candidates)
 	for l := 1; l < len(levels); l++ {
 		inner = min(inner, width(widths, l-1))
-		o.rank(runners, inner, levels[l].Hash)
+		r.rerank(runners, inner, levels[l].Hash)
 	}
-	out := make([]int32, 0, min(m, len(o.pool)))
-	for _, r := range o.pool[:min(m, len(o.pool))] {
-		out = append(out, r.index)
+	out := make([]int32, 0, min(m, len(r.candidates)))
+	for _, scored := range r.candidates[:min(m, len(r.candidates))] {
+		out = append(out, scored.index)
 	}
 	return out
 }
 
-// defaultWidth serves levels for which the preference gives no width.
+// defaultWidth is the width of levels for which none is configured.
 const defaultWidth = 3
 
 func width(widths []int, level int) int {
@@ -65,27 +65,27 @@
 	return defaultWidth
 }
 
-// insert keeps the best scores in order, at most keep of them.
-func (o *Ranker) insert(r ranked, keep int) {
-	if n := len(o.pool); n == keep {
-		o.pool = o.pool[:n-1]
+// insert adds r in order of score and keeps at most keep candidates.
+func (r *Ranker) insert(scored scoredRunner, keep int) {
+	if n := len(r.candidates); n == keep {
+		r.candidates = r.candidates[:n-1]
 	}
-	at, _ := slices.BinarySearchFunc(o.pool, r.score, func(have ranked, score uint64) int {
+	at, _ := slices.BinarySearchFunc(r.candidates, scored.score, func(have scoredRunner, score uint64) int {
 		if have.score >= score {
 			return -1
 		}
 		return 1
 	})
-	o.pool = slices.Insert(o.pool, at, r)
+	r.candidates = slices.Insert(r.candidates, at, scored)
 }
 
-// rank orders the first n of the pool by another level's hash.
-func (o *Ranker) rank(runners []Runner, n int, hash uint64) {
-	subset := o.pool[:n]
+// rerank sorts the first n candidates by the hash of another level.
+func (r *Ranker) rerank(runners []Runner, n int, hash uint64) {
+	subset := r.candidates[:n]
 	for i := range subset {
 		subset[i].score = prefix.RendezvousScore(runners[subset[i].index].hash, hash)
 	}
-	slices.SortFunc(subset, func(a, b ranked) int {
+	slices.SortFunc(subset, func(a, b scoredRunner) int {
 		if a.score >= b.score {
 			return -1
 		}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -9,7 +9,7 @@
 	"acaciakeel/prefix"
 )
 
-func runners(n int) []Runner {
+func testRunners(n int) []Runner {
 	out := make([]Runner, n)
 	for i := range out {
 		out[i] = NewRunner(fmt.Sprintf("runner-%d", i), fmt.Sprintf("dc-%d", i%3), "region", false)
@@ -17,7 +17,7 @@
 	return out
 }
 
-func all(n int) []int32 {
+func allIndices(n int) []int32 {
 	out := make([]int32, n)
 	for i := range out {
 		out[i] = int32(i)
@@ -25,7 +25,7 @@
 	return out
 }
 
-func levels(hashes ...uint64) []prefix.Boundary {
+func boundaries(hashes ...uint64) []prefix.Boundary {
 	out := make([]prefix.Boundary, len(hashes))
 	for i, h := range hashes {
 		out[i] = prefix.Boundary{Hash: h, Tokens: 2000 * (i + 1)}
@@ -33,9 +33,10 @@
 	return out
 }
 
-// Prompts that share the outer level must be answered from one small subset,
-// whatever their inner levels, and every entry must find the same order.
-func TestOrderNests(t *testing.T) {
+// Prompts that share the outer level must go to the same small subset of runners
+// whatever their inner levels are, and separate rankers must agree on the order;
+// otherwise cached prefixes are spread over all runners.
+func TestRankNests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(4, 60).Draw(t, "runners")
 		width := rapid.IntRange(1, 4).Draw(t, "width")
@@ -43,35 +44,36 @@
 		a := rapid.Uint64().Draw(t, "inner a")
 		b := rapid.Uint64().Draw(t, "inner b")
 		var one, other Ranker
-		rs := runners(n)
-		first := one.Rank(rs, all(n), levels(outer, a), []int{width}, n)
-		second := other.Rank(rs, all(n), levels(outer, b), []int{width}, n)
+		rs := testRunners(n)
+		first := one.Rank(rs, allIndices(n), boundaries(outer, a), []int{width}, n)
+		second := other.Rank(rs, allIndices(n), boundaries(outer, b), []int{width}, n)
 		if !sameSet(first[:width], second[:width]) {
 			t.Fatalf("subsets differ: %v and %v", first[:width], second[:width])
 		}
 		if fmt.Sprint(first[width:]) != fmt.Sprint(second[width:]) {
 			t.Fatalf("spill orders differ: %v and %v", first[width:], second[width:])
 		}
-		if len(first) != n || !sameSet(first, all(n)) {
+		if len(first) != n || !sameSet(first, allIndices(n)) {
 			t.Fatalf("not a permutation: %v", first)
 		}
 	})
 }
 
-// A runner that leaves must move only the prefixes that it held.
-func TestOrderMovesLittle(t *testing.T) {
-	rs := runners(18)
+// If a runner that leaves moved prefixes other than its own, the caches of the
+// remaining runners would be lost.
+func TestRankIsStableWhenRunnerLeaves(t *testing.T) {
+	rs := testRunners(18)
 	var o Ranker
 	for hash := uint64(1); hash <= 200; hash++ {
-		before := o.Rank(rs, all(18), levels(hash), nil, 18)
+		before := o.Rank(rs, allIndices(18), boundaries(hash), nil, 18)
 		gone := before[5]
 		var staying []int32
-		for _, i := range all(18) {
+		for _, i := range allIndices(18) {
 			if i != gone {
 				staying = append(staying, i)
 			}
 		}
-		after := o.Rank(rs, staying, levels(hash), nil, 18)
+		after := o.Rank(rs, staying, boundaries(hash), nil, 18)
 		want := append(append([]int32{}, before[:5]...), before[6:]...)
 		if fmt.Sprint(after) != fmt.Sprint(want) {
 			t.Fatalf("order changed beyond the runner that left: %v, want %v", after, want)
@@ -124,7 +126,7 @@
 }
 
 func TestFilters(t *testing.T) {
-	rs := runners(4)
+	rs := testRunners(4)
 	rs[1].Draining = true
 	rs[2].Region = "elsewhere"
 	got := Apply(rs, nil, NotDraining, InRegion("region"), Except([]string{"runner-3"}))
@@ -133,9 +135,9 @@
 	}
 }
 
-// The mean stands in for a runner that was never measured; taken for slow it
-// would stay without work for ever.
-func TestFillRates(t *testing.T) {
+// A new runner that is assumed to be slow would get no work, and its rate would never
+// be measured.
+func TestFillPrefillRates(t *testing.T) {
 	answers := []Estimate{{PrefillRate: 30000}, {}, {PrefillRate: 50000}}
 	FillPrefillRates(answers)
 	if answers[1].PrefillRate != 40000 {
@@ -143,12 +145,12 @@
 	}
 	none := []Estimate{{}}
 	FillPrefillRates(none)
-	if none[0].PrefillRate != assumedRate {
-		t.Errorf("rate %v, want %v", none[0].PrefillRate, assumedRate)
+	if none[0].PrefillRate != defaultPrefillRate {
+		t.Errorf("rate %v, want %v", none[0].PrefillRate, defaultPrefillRate)
 	}
 }
 
-func TestCallOrderIgnoresInputOrder(t *testing.T) {
+func TestRankTargetsIgnoresInputOrder(t *testing.T) {
 	a := RankTargets([]string{"x", "y", "z"}, "key")
 	b := RankTargets([]string{"z", "y", "x"}, "key")
 	if fmt.Sprint(a) != fmt.Sprint(b) {
@@ -156,13 +158,13 @@
 	}
 }
 
-// BenchmarkOrder is a placement decision over the runners of two years from now.
-func BenchmarkOrder(b *testing.B) {
+// BenchmarkRank ranks 2,100 runners, the number expected in two years.
+func BenchmarkRank(b *testing.B) {
 	const n = 2100
-	rs, indices := runners(n), all(n)
+	rs, indices := testRunners(n), allIndices(n)
 	var o Ranker
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		o.Rank(rs, indices, levels(uint64(i), uint64(i)+1), []int{3}, 12)
+		o.Rank(rs, indices, boundaries(uint64(i), uint64(i)+1), []int{3}, 12)
 	}
 }
--- a/placement/runner.go
+++ b/placement/runner.go
@@ -1,15 +1,14 @@
-// Package placement decides which of a model's runners answers a request, as
-// a chain of small pure steps: filters leave runners out, Order ranks the
-// rest by nested rendezvous, a scorer turns agents' answers into costs and a
-// picker takes the least. Entries share no state, so every entry and every
-// restarted entry decides alike.
+// Package placement decides which of a model's runners serves a request, in a chain of
+// small pure steps: filters exclude runners, Rank orders the rest by nested rendezvous
+// hashing, Cost converts the agents' estimates to costs, and Pick chooses the least.
+// Entries share no state, and all of them, restarted ones included, decide alike.
 package placement
 
 import (
 	"acaciakeel/prefix"
 )
 
-// Runner is one candidate target.
+// Runner is a candidate target.
 type Runner struct {
 	Name       string
 	DataCentre string
@@ -18,31 +17,33 @@
 	hash       uint64
 }
 
-// NewRunner returns a runner with its rendezvous hash worked out.
-func NewRunner(name, dataCentre, region string, leaving bool) Runner {
+// NewRunner returns a runner with its rendezvous hash computed.
+func NewRunner(name, dataCentre, region string, draining bool) Runner {
 	return Runner{
 		Name:       name,
 		DataCentre: dataCentre,
 		Region:     region,
-		Draining:   leaving,
+		Draining:   draining,
 		hash:       prefix.NameHash(name),
 	}
 }
 
-// Estimate is what a runner's agent said about one prompt.
+// Estimate is what is known or expected of one prompt at a runner.
 type Estimate struct {
 	Ready bool
-	// CachedTokens of the prompt need no prefill.
+	// CachedTokens is the number of prompt tokens that need no prefill.
 	CachedTokens int
-	// WaitSeconds is the expected wait before this prompt's prefill begins.
+	// WaitSeconds is the expected wait until the prefill of the prompt begins.
 	WaitSeconds float64
-	// PrefillRate is tokens a second, as measured by the agent.
+	// PrefillRate is the measured rate in tokens per second; 0 if not measured yet.
 	PrefillRate float64
-	// LifetimeSeconds is how long cached blocks last there after their last
-	// use; 0 while none is evicted.
+	// LifetimeSeconds is how long cached blocks stay in the runner's cache after their
+	// last use; 0 while none is evicted.
 	LifetimeSeconds float64
-	// PenaltySeconds is the entry's own doubt about the runner.
+	// PenaltySeconds is added by the entry for runners that it prefers to avoid, such
+	// as those that failed recently.
 	PenaltySeconds float64
-	// NetworkSeconds is the time of a message there and back.
+	// NetworkSeconds is the round-trip time to the runner plus the expected cost of
+	// fetching cached blocks.
 	NetworkSeconds float64
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy names the mechanisms by which requests, loads and caches are
-// decided, so that each can be switched off alone: to measure what it is worth, or
-// to do without one that does harm.
+// Package policy names the mechanisms that decide how requests, weight loads and caches
+// are handled. Each can be disabled on its own, to measure its effect or to turn off
+// one that causes harm.
 package policy
 
 import (
@@ -9,77 +9,81 @@
 	"strings"
 )
 
-// Mechanism is the name of one that can be switched off.
+// Mechanism names a mechanism that can be disabled.
 type Mechanism string
 
-// The mechanisms.
 const (
-	// Learning: figures of engines are fitted to what answers show. Without it the
-	// guess of the first seconds holds for good, and nobody is refused by it.
+	// Learning fits the engine performance estimates to observed responses. Without it
+	// the initial estimates stay in use, and no request is refused because of them.
 	Learning Mechanism = "learning"
-	// Packing: long runs fill few runners.
+	// Packing concentrates long runs on few runners.
 	Packing Mechanism = "packing"
-	// ReserveForLight: runners are kept for requests that take little to read.
+	// ReserveForLight reserves runners for requests with a short prefill.
 	ReserveForLight Mechanism = "apart"
-	// CacheFetching: runners are chosen with what they can fetch; without it only what
-	// they hold themselves counts, and a source is named on the chance.
+	// CacheFetching counts the blocks that a runner can fetch when runners are compared.
+	// Without it only the blocks that a runner holds count, and it is only told to try the
+	// store that would keep the shared prompt parts.
 	CacheFetching Mechanism = "fetching"
-	// MemoryBackpressure: a target whose memory is full makes requests wait.
+	// MemoryBackpressure makes requests wait while their target's memory is full.
 	MemoryBackpressure Mechanism = "memory"
-	// CacheSaving: shared parts are sent to stores of kept cache.
+	// CacheSaving sends shared prompt parts to the stores of KV cache.
 	CacheSaving Mechanism = "saving"
-	// CrossDataCentreLinks: the time of a store's link that a transfer across zones takes counts.
+	// CrossDataCentreLinks counts the time for which a transfer to another data centre
+	// occupies a store's link.
 	CrossDataCentreLinks Mechanism = "far-links"
-	// CandidateSampling: fewer runners are compared where much is decided unseen.
+	// CandidateSampling compares fewer runners while many decisions of other entries
+	// are not yet known here.
 	CandidateSampling Mechanism = "few-compared"
-	// WaitRefusal: requests are refused for their wait.
+	// WaitRefusal refuses requests whose expected wait is too long.
 	WaitRefusal Mechanism = "refusing"
-	// LightWaitAllowance: what takes little to read may wait longer.
+	// LightWaitAllowance lets requests with a short prefill wait longer before they are
+	// refused.
 	LightWaitAllowance Mechanism = "light-waits"
-	// Truncation: long runs that go on elsewhere are cut off by orders.
+	// Truncation lets a load order end long runs that another runner can resume.
 	Truncation Mechanism = "cutting"
-	// LoadSharing: entries tell each other their load.
+	// LoadSharing has the entries exchange the load that they put on targets.
 	LoadSharing Mechanism = "telling"
-	// SharedWatch: the members of a group live on one watch of the platform's store;
-	// without it each watches itself.
+	// SharedWatch has the members of a group share one watch of the platform's store.
+	// Without it each member watches the store itself.
 	SharedWatch Mechanism = "shared-watch"
-	// PoisonDetection: contents under which targets end are suspected, and refused after
-	// some; Alone: suspects go to the target at which the fewest others run.
+	// PoisonDetection tracks contents under which targets crash and refuses them after
+	// several crashes. SuspectIsolation sends suspect requests to the target with the
+	// fewest other requests.
 	PoisonDetection  Mechanism = "suspecting"
 	SuspectIsolation Mechanism = "alone"
-	// CustomerLimits: requests of customers over their limits are refused. CommonUse: what the
-	// entries tell each other that they let in counts against a limit; without it each
-	// keeps to its own share. Pacing: where much is let in unheard, each entry goes by
-	// its share as well. DemandShares: shares follow demand; without it they are equal.
+	// CustomerLimits refuses requests of customers over their limits. SharedUsage
+	// counts the usage reported by other entries against a limit; without it each entry
+	// enforces its own share. Pacing additionally holds each entry to its share while
+	// much usage is not yet reported. DemandShares sets the shares by demand; without
+	// it they are equal.
 	CustomerLimits Mechanism = "limits"
 	SharedUsage    Mechanism = "common-use"
 	Pacing         Mechanism = "pacing"
 	DemandShares   Mechanism = "demand-shares"
-	// TargetLimits: the limits that targets name are kept to.
+	// TargetLimits enforces the rate limits that targets advertise.
 	TargetLimits Mechanism = "target-limits"
 )
 
-// All returns every mechanism.
 func All() []Mechanism {
 	return []Mechanism{Learning, Packing, ReserveForLight, CacheFetching, MemoryBackpressure, CacheSaving, CrossDataCentreLinks, CandidateSampling, WaitRefusal, LightWaitAllowance, Truncation, LoadSharing, SharedWatch, PoisonDetection, SuspectIsolation, CustomerLimits, SharedUsage, Pacing, DemandShares, TargetLimits}
 }
 
-// Disabled is the mechanisms that are switched off; nil is none.
+// Disabled is the set of disabled mechanisms; nil disables none.
 type Disabled map[Mechanism]bool
 
-// Parse reads the names of the mechanisms to switch off.
+// Parse converts names of mechanisms to the set to disable. It rejects unknown names.
 func Parse(names []string) (Disabled, error) {
 	off := Disabled{}
 	for _, name := range names {
 		if !slices.Contains(All(), Mechanism(name)) {
-			return nil, fmt.Errorf("no mechanism is called %q; write one of %s", name, strings.Join(known(), ", "))
+			return nil, fmt.Errorf("unknown mechanism %q; valid mechanisms are %s", name, strings.Join(mechanismNames(), ", "))
 		}
 		off[Mechanism(name)] = true
 	}
 	return off, nil
 }
 
-func known() []string {
+func mechanismNames() []string {
 	out := make([]string, 0, len(All()))
 	for _, m := range All() {
 		out = append(out, string(m))
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A misspelt switch that is passed over would let an operator believe that a
-// mechanism is off.
-func TestUnknownMechanismsAreRefused(t *testing.T) {
+// An unknown name that is silently ignored would leave the mechanism enabled although
+// the operator believes that it is disabled.
+func TestParseRejectsUnknownNames(t *testing.T) {
 	off, err := Parse([]string{"apart", "saving"})
 	if err != nil || !off[ReserveForLight] || !off[CacheSaving] || off[Packing] {
 		t.Errorf("switched off %v, %v", off, err)
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -1,6 +1,5 @@
-// Package refusal holds the typed errors that acaciakeel answers with: what
-// kind it is, whether the request ran, what the caller can do, and when to
-// come back.
+// Package refusal defines the typed errors that the API returns: the kind of error,
+// whether the request ran, what the caller can do, and when to retry.
 package refusal
 
 import (
@@ -10,11 +9,10 @@
 	"time"
 )
 
-// Kind is the reason of a refusal. Each kind is a label of the refusal
+// Kind identifies why a request was refused. Each kind is a label value of the refusal
 // counters and a section of docs/operating/refusals.md.
 type Kind string
 
-// The kinds of refusal.
 const (
 	BadRequest        Kind = "bad_request"
 	BodyTooLarge      Kind = "body_too_large"
@@ -46,36 +44,37 @@
 	NotOwner          Kind = "not_home"
 	TimedOut          Kind = "timed_out"
 	Interrupted       Kind = "interrupted"
-	// CrashesTargets: targets ended under earlier requests with the same content;
-	// SuspectUnderWay: one did, and another request with that content is being tried.
+	// CrashesTargets: targets crashed while running earlier requests with the same
+	// content. SuspectInProgress: one target did, and another request with that content
+	// is still running.
 	CrashesTargets    Kind = "ends_targets"
 	SuspectInProgress Kind = "suspect_under_way"
-	// WeightsReplaced: it waited at its target until the time of the weights there
-	// ended, and was taken back.
+	// WeightsReplaced: the request was still waiting at its target when the weights
+	// there became too old to start on, and was withdrawn.
 	WeightsReplaced Kind = "weights_replaced"
-	// TargetsLimited: the targets that could take it get as much as they say they take.
-	// TargetsResting: these asked to be left alone for a while.
+	// TargetsLimited: every target that could take the request is at the rate limit it
+	// advertises. TargetsBackingOff: every such target asked for no requests for some
+	// time.
 	TargetsLimited    Kind = "targets_limited"
 	TargetsBackingOff Kind = "targets_resting"
 )
 
-// Outcome says whether the refused request ran.
+// Outcome states whether the refused request ran.
 type Outcome string
 
-// The outcomes of a refused request.
 const (
 	NotRun  Outcome = "not_run"
 	Unknown Outcome = "unknown"
 	Ran     Outcome = "ran"
 )
 
-// Error is a typed refusal. Its message names the remedy.
+// Error is a typed refusal. Remedy tells the caller how to proceed.
 type Error struct {
 	Kind    Kind
 	Message string
 	Remedy  string
 	Outcome Outcome
-	// RetryAfter is when the caller should come back; 0 says nothing.
+	// RetryAfter is how long the caller should wait before retrying; 0 gives no advice.
 	RetryAfter time.Duration
 }
 
@@ -94,7 +93,7 @@
 	}
 }
 
-// NewUnknown returns the answer to a request whose outcome cannot be known.
+// NewUnknown returns the refusal of a request that may or may not have run.
 func NewUnknown(format string, args ...any) *Error {
 	return &Error{
 		Kind:    OutcomeUnknown,
@@ -104,15 +103,15 @@
 	}
 }
 
-// WithRetryAfter returns a copy of e that names when to come back.
+// WithRetryAfter returns a copy of e with RetryAfter set to d.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// From returns err as a refusal. Any other error becomes target_failed with
-// an unknown outcome, the one claim that is always true.
+// From converts err to a refusal. An error of any other type becomes target_failed with
+// an unknown outcome, the only outcome that holds for every such error.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -164,7 +163,7 @@
 	TargetsBackingOff: http.StatusServiceUnavailable,
 }
 
-// Status returns the HTTP status of e.
+// Status returns the HTTP status code for e.
 func (e *Error) Status() int {
 	status, ok := statuses[e.Kind]
 	if !ok {
@@ -173,7 +172,7 @@
 	return status
 }
 
-// Kinds returns every kind there is, for counters and documentation checks.
+// Kinds returns all kinds; metrics and documentation checks enumerate them.
 func Kinds() []Kind {
 	kinds := make([]Kind, 0, len(statuses))
 	for kind := range statuses {
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -9,8 +9,8 @@
 
 var start = time.Unix(1000, 0)
 
-// Entries that all fail at once must not double the load: over many requests
-// the retries stay near their share.
+// When all requests of an entry fail, the retries must stay close to their share of the
+// requests instead of doubling the load.
 func TestBudgetBoundsRetries(t *testing.T) {
 	b := NewBudget(0.1, 0, start)
 	retries := 0
@@ -20,7 +20,7 @@
 			retries++
 		}
 	}
-	if retries < 100 || retries > 100+maxBalance {
+	if retries < 100 || retries > 100+defaultBurst {
 		t.Errorf("%d retries for 1000 requests", retries)
 	}
 }
@@ -50,10 +50,10 @@
 	}
 }
 
-// Twenty processes share a bound of 82 retries beyond a fifth of the requests in
-// any ten seconds. A rollout makes all of them retry at once after a quiet time:
-// the platform counted 651 where 624 were allowed, since each had saved up 20.
-func TestSharedBudgetHoldsInABurst(t *testing.T) {
+// Twenty processes that share a limit of 82 extra retries in ten seconds retry at once
+// after a quiet period; with 20 accumulated retries each, they sent 651 where 624 were
+// allowed.
+func TestSharedBudgetInBurst(t *testing.T) {
 	const (
 		processes = 20
 		extra     = 82.0
--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -80,23 +80,23 @@
 }
 
 // NewController returns a holder named name, which is the machine's.
-func NewController(name string, s Config, log logrus.FieldLogger) *Controller {
+func NewController(name string, cfg Config, log logrus.FieldLogger) *Controller {
 	return &Controller{
-		name: name, leadership: s.Leadership, client: s.Client, fleet: s.Fleet, services: s.Services, notify: s.Notify, maxStaleness: s.MaxStaleness, log: log,
-		wake: make(chan struct{}, 1), waits: newWaitReporter(s.Metrics, log), inProgress: map[string]activeOrder{},
+		name: name, leadership: cfg.Leadership, client: cfg.Client, fleet: cfg.Fleet, services: cfg.Services, notify: cfg.Notify, maxStaleness: cfg.MaxStaleness, log: log,
+		wake: make(chan struct{}, 1), waits: newWaitReporter(cfg.Metrics, log), inProgress: map[string]activeOrder{},
 	}
 }
 
 // DisableTruncation has runners end their streams before they load: the others no longer tell
 // which streams they have there, and those that can't go on elsewhere would be cut.
-func (h *Controller) DisableTruncation() {
-	h.truncationDisabled.Store(true)
+func (c *Controller) DisableTruncation() {
+	c.truncationDisabled.Store(true)
 }
 
 // Wake makes the holder look at once.
-func (h *Controller) Wake() {
+func (c *Controller) Wake() {
 	select {
-	case h.wake <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
@@ -106,17 +106,17 @@
 const reconcileInterval = 300 * time.Millisecond
 
 // Run gives orders until ctx ends.
-func (h *Controller) Run(ctx context.Context) {
+func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
 	for {
-		if _, ok := h.leadership.Held(); ok {
-			h.reconcile(ctx)
+		if _, ok := c.leadership.Held(); ok {
+			c.reconcile(ctx)
 		} else {
-			h.waits.reset()
+			c.waits.reset()
 		}
 		select {
-		case <-h.wake:
+		case <-c.wake:
 		case <-ticker.C:
 		case <-ctx.Done():
 			return
@@ -124,29 +124,29 @@
 	}
 }
 
-func (h *Controller) reconcile(ctx context.Context) {
-	services := h.services()
-	h.waits.beginPass()
-	for model, desired := range h.fleet.Named() {
+func (c *Controller) reconcile(ctx context.Context) {
+	services := c.services()
+	c.waits.beginPass()
+	for model, desired := range c.fleet.Named() {
 		var runners []fleet.Runner
 		for _, service := range services[model] {
-			runners = append(runners, h.fleet.Runners(service)...)
+			runners = append(runners, c.fleet.Runners(service)...)
 		}
-		in := h.planInput(model, desired, runners)
+		in := c.planInput(model, desired, runners)
 		decisions := Plan(in)
-		h.waits.record(in, decisions)
+		c.waits.record(in, decisions)
 		for _, t := range decisions {
 			if t.WaitReason == None {
-				h.startOrder(ctx, t, model, desired)
+				c.startOrder(ctx, t, model, desired)
 			}
 		}
 	}
-	h.waits.endPass()
+	c.waits.endPass()
 }
 
-func (h *Controller) planInput(model string, desired int64, runners []fleet.Runner) Input {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (c *Controller) planInput(model string, desired int64, runners []fleet.Runner) Input {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	in := Input{
 		Model:      model,
 		Desired:    desired,
@@ -157,37 +157,37 @@
 		StaleFor:   map[string]time.Duration{},
 	}
 	now := time.Now()
-	for id, u := range h.inProgress {
-		if h.fleet.Holds(u.life) {
+	for id, u := range c.inProgress {
+		if c.fleet.Holds(u.life) {
 			in.InProgress[id] = now.Sub(u.since)
 		}
 	}
 	if len(runners) > 0 {
-		known := h.fleet.Loads(runners[0].Service)
+		known := c.fleet.Loads(runners[0].Service)
 		in.MaxConcurrent = known.AtOnce(len(runners))
-		in.MaxStaleness, in.OrderDuration = h.maxStaleness, cmp.Or(h.orderDuration, known.Order())
+		in.MaxStaleness, in.OrderDuration = c.maxStaleness, cmp.Or(c.orderDuration, known.Order())
 	}
 	for _, r := range runners {
-		load := h.fleet.Inflight(r.Life())
+		load := c.fleet.Inflight(r.Life())
 		in.Inflight[r.ID], in.LongRuns[r.ID] = load.Inflight, load.Long
-		in.StaleFor[r.ID] = h.fleet.BehindFor(model, r.Weights[model], now)
+		in.StaleFor[r.ID] = c.fleet.BehindFor(model, r.Weights[model], now)
 	}
 	return in
 }
 
-func (h *Controller) startOrder(ctx context.Context, t Decision, model string, desired int64) {
+func (c *Controller) startOrder(ctx context.Context, t Decision, model string, desired int64) {
 	r := t.Runner
-	h.mu.Lock()
-	h.inProgress[r.ID] = activeOrder{life: r.Life(), since: time.Now()}
-	h.mu.Unlock()
+	c.mu.Lock()
+	c.inProgress[r.ID] = activeOrder{life: r.Life(), since: time.Now()}
+	c.mu.Unlock()
 	go func() {
-		h.updateRunner(ctx, t, model, desired)
-		h.mu.Lock()
-		if h.inProgress[r.ID].life == r.Life() {
-			delete(h.inProgress, r.ID)
+		c.updateRunner(ctx, t, model, desired)
+		c.mu.Lock()
+		if c.inProgress[r.ID].life == r.Life() {
+			delete(c.inProgress, r.ID)
 		}
-		h.mu.Unlock()
-		h.Wake()
+		c.mu.Unlock()
+		c.Wake()
 	}()
 }
 
@@ -205,28 +205,28 @@
 
 // updateRunner brings one runner to the desired weights, or gives up so that the next
 // look decides anew.
-func (h *Controller) updateRunner(ctx context.Context, t Decision, model string, desired int64) {
+func (c *Controller) updateRunner(ctx context.Context, t Decision, model string, desired int64) {
 	r, start := t.Runner, time.Now()
-	truncate := h.prepareTruncation(ctx, t)
-	drainTime, remaining := time.Since(start), h.fleet.Inflight(r.Life())
-	report, err := h.client.Report(ctx, r)
+	truncate := c.clear(ctx, t)
+	drainTime, remaining := time.Since(start), c.fleet.Inflight(r.Life())
+	report, err := c.client.Report(ctx, r)
 	if errors.Is(err, fleet.ErrOtherRunner) {
-		h.fleet.Ended(r.Life())
+		c.fleet.Ended(r.Life())
 	}
 	if err != nil {
-		h.logEvent("report_failed", r, model, desired).WithError(err).Warn("the runner can't be asked; it is tried again")
+		c.logEvent("report_failed", r, model, desired).WithError(err).Warn("the runner can't be asked; it is tried again")
 		clock.Sleep(ctx, pollInterval)
 		return
 	}
-	if !h.checkLife(r, report) {
-		h.logEvent("report_other_life", r, model, desired).WithField("reported", report.Born).Warn("another life of the runner answered; what becomes of it is decided anew")
+	if !c.checkLife(r, report) {
+		c.logEvent("report_other_life", r, model, desired).WithField("reported", report.Born).Warn("another life of the runner answered; what becomes of it is decided anew")
 		clock.Sleep(ctx, pollInterval)
 		return
 	}
 	if report.Born != 0 {
 		r.Born = report.Born
 	}
-	h.fleet.Learn(r.Life(), model, report.Weights[model], time.Now())
+	c.fleet.Learn(r.Life(), model, report.Weights[model], time.Now())
 	if report.Weights[model] >= desired {
 		return
 	}
@@ -236,26 +236,26 @@
 	}
 	// The office is looked at last before the order leaves: a process that
 	// slept since must not order after another took over.
-	fence, ok := h.leadership.Held()
+	fence, ok := c.leadership.Held()
 	if !ok {
 		return
 	}
 	// A later life counts its orders from nothing: by the count of a former one
 	// an order may be carried out that was not meant for it, or a newer one refused.
-	if !h.fleet.Holds(r.Life()) {
+	if !c.fleet.Holds(r.Life()) {
 		return
 	}
-	result, err := h.sendOrder(ctx, fleet.Order{Runner: r, Model: model, Weights: desired, Holder: h.name, Fence: fence, Orders: report.Orders, Truncate: truncate})
-	h.logEvent("order", r, model, desired).WithFields(logrus.Fields{"result": result, "fence": fence, "orders": report.Orders, "truncate": truncate, "cleared_ms": drainTime.Milliseconds(), "inflight": remaining.Inflight, "resumable": remaining.Resumable, "long": remaining.Long}).WithError(err).Info("order given")
+	result, err := c.sendOrder(ctx, fleet.Order{Runner: r, Model: model, Weights: desired, Holder: c.name, Fence: fence, Orders: report.Orders, Truncate: truncate})
+	c.logEvent("order", r, model, desired).WithFields(logrus.Fields{"result": result, "fence": fence, "orders": report.Orders, "truncate": truncate, "cleared_ms": drainTime.Milliseconds(), "inflight": remaining.Inflight, "resumable": remaining.Resumable, "long": remaining.Long}).WithError(err).Info("order given")
 	switch result {
 	case fleet.OrderHolds:
-		h.fleet.Learn(r.Life(), model, desired, time.Now())
+		c.fleet.Learn(r.Life(), model, desired, time.Now())
 	case fleet.OrderMisdirected:
 		// Another runner has the address: this one has ended, whatever the list says.
-		h.fleet.Ended(r.Life())
+		c.fleet.Ended(r.Life())
 	case fleet.OrderAccepted:
-		if h.awaitLoad(ctx, r, model, desired) {
-			h.recordDuration(time.Since(start))
+		if c.awaitLoad(ctx, r, model, desired) {
+			c.recordDuration(time.Since(start))
 		}
 	default:
 		clock.Sleep(ctx, pollInterval)
@@ -275,23 +275,23 @@
 	urgentDrainChecks = 12
 )
 
-// prepareTruncation prepares a runner that has only long runs left, and reports whether
+// clear prepares a runner that has only long runs left, and reports whether
 // these may be cut off: each must be one that goes on at another runner, after
 // its last event. Left to end, the last of them keep a runner of forty or sixty
 // slots out of service for four to six seconds.
-func (h *Controller) prepareTruncation(ctx context.Context, t Decision) bool {
+func (c *Controller) clear(ctx context.Context, t Decision) bool {
 	r, checks := t.Runner, drainChecks
 	if t.Urgent {
 		checks = urgentDrainChecks
 	}
-	if h.fleet.Inflight(r.Life()).Long == 0 || h.truncationDisabled.Load() || h.fleet.Off(policy.Truncation) {
+	if c.fleet.Inflight(r.Life()).Long == 0 || c.truncationDisabled.Load() || c.fleet.Off(policy.Truncation) {
 		return false
 	}
 	for range checks {
-		h.fleet.Busy(r.Life(), time.Now().Add(busyDuration))
-		h.notify()
+		c.fleet.Busy(r.Life(), time.Now().Add(busyDuration))
+		c.notify()
 		clock.Sleep(ctx, drainCheckInterval)
-		if load := h.fleet.Inflight(r.Life()); load.Inflight == load.Resumable {
+		if load := c.fleet.Inflight(r.Life()); load.Inflight == load.Resumable {
 			return load.Inflight > 0
 		}
 	}
@@ -301,50 +301,50 @@
 // sendOrder gives an order, within the time of the office: one that is held up on its way, by
 // a slow link or a connection that takes its time, must not arrive beside those of the
 // next holder.
-func (h *Controller) sendOrder(ctx context.Context, o fleet.Order) (fleet.OrderResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.leadership.Remaining())
+func (c *Controller) sendOrder(ctx context.Context, o fleet.Order) (fleet.OrderResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.leadership.Remaining())
 	defer cancel()
-	return h.client.Order(ctx, o)
+	return c.client.Order(ctx, o)
 }
 
 // durationSmoothing is the part of the difference by which one order moves what one takes: the
 // last ten or so tell how long runs last by now.
 const durationSmoothing = 0.1
 
-func (h *Controller) recordDuration(d time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.orderDuration == 0 {
-		h.orderDuration = d
+func (c *Controller) recordDuration(d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.orderDuration == 0 {
+		c.orderDuration = d
 	}
-	h.orderDuration += time.Duration(durationSmoothing * float64(d-h.orderDuration))
+	c.orderDuration += time.Duration(durationSmoothing * float64(d-c.orderDuration))
 }
 
 // awaitLoad waits for the end of an order, asking the runner, and reports whether the
 // runner has its weights.
-func (h *Controller) awaitLoad(ctx context.Context, r fleet.Runner, model string, desired int64) bool {
+func (c *Controller) awaitLoad(ctx context.Context, r fleet.Runner, model string, desired int64) bool {
 	start := time.Now()
-	h.fleet.Busy(r.Life(), start.Add(busyDuration))
-	h.notify()
+	c.fleet.Busy(r.Life(), start.Add(busyDuration))
+	c.notify()
 	clock.Sleep(ctx, firstPollDelay)
-	for ctx.Err() == nil && time.Since(start) < orderTimeout && h.fleet.Live(r.Life()) {
-		report, err := h.client.Report(ctx, r)
-		if err == nil && !h.checkLife(r, report) {
+	for ctx.Err() == nil && time.Since(start) < orderTimeout && c.fleet.Live(r.Life()) {
+		report, err := c.client.Report(ctx, r)
+		if err == nil && !c.checkLife(r, report) {
 			// The order ended with the life that took it; the load that the later
 			// one may do tells nothing of how long this one's took.
 			return false
 		}
 		if err == nil && report.Weights[model] >= desired {
-			h.fleet.Learn(r.Life(), model, desired, time.Now())
-			h.notify()
-			h.fleet.WeightsLoaded(r.Service, time.Since(start))
-			h.logEvent("loaded", r, model, desired).WithField("took_ms", time.Since(start).Milliseconds()).Info("the runner has its weights")
+			c.fleet.Learn(r.Life(), model, desired, time.Now())
+			c.notify()
+			c.fleet.WeightsLoaded(r.Service, time.Since(start))
+			c.logEvent("loaded", r, model, desired).WithField("took_ms", time.Since(start).Milliseconds()).Info("the runner has its weights")
 			return true
 		}
 		if err == nil && !report.Busy {
 			return false
 		}
-		h.fleet.Busy(r.Life(), time.Now().Add(busyDuration))
+		c.fleet.Busy(r.Life(), time.Now().Add(busyDuration))
 		clock.Sleep(ctx, pollInterval)
 	}
 	return false
@@ -352,20 +352,20 @@
 
 // checkLife checkLife whether a report is of the life of a runner that was asked for.
 // A later one ends that life, and what it says is taken; a former one says nothing.
-func (h *Controller) checkLife(r fleet.Runner, report fleet.Report) bool {
+func (c *Controller) checkLife(r fleet.Runner, report fleet.Report) bool {
 	life := fleet.Life{ID: r.ID, Born: report.Born}
-	if !h.fleet.Hear(life) {
+	if !c.fleet.Hear(life) {
 		return false
 	}
 	if life.Same(r.Life()) {
 		return true
 	}
 	for model, version := range report.Weights {
-		h.fleet.Learn(life, model, version, time.Now())
+		c.fleet.Learn(life, model, version, time.Now())
 	}
 	return false
 }
 
-func (h *Controller) logEvent(name string, r fleet.Runner, model string, desired int64) *logrus.Entry {
-	return h.log.WithFields(logrus.Fields{"event": name, "runner": r.ID, "born": r.Born, "model": model, "weights": desired})
+func (c *Controller) logEvent(name string, r fleet.Runner, model string, desired int64) *logrus.Entry {
+	return c.log.WithFields(logrus.Fields{"event": name, "runner": r.ID, "born": r.Born, "model": model, "weights": desired})
 }
--- a/rollout/office.go
+++ b/rollout/office.go
@@ -48,116 +48,116 @@
 }
 
 // Held implements Office.
-func (s *LeaderLock) Held() (int64, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	held := s.fence != 0 && s.leaseID == s.session.ID() && s.session.Valid()
-	return s.fence, held
+func (l *LeaderLock) Held() (int64, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	held := l.fence != 0 && l.leaseID == l.session.ID() && l.session.Valid()
+	return l.fence, held
 }
 
 // Remaining implements Office.
-func (s *LeaderLock) Remaining() time.Duration {
-	return s.session.Remaining()
+func (l *LeaderLock) Remaining() time.Duration {
+	return l.session.Remaining()
 }
 
 // Observe notes what the store says of the key at a revision; an empty value is
 // its absence. What is older than the seat's own taking says nothing of it: a
 // listing may have been read before and arrive after. Nor does the taking of one
 // that was given up since: adopted by its late news, it would have two holders.
-func (s *LeaderLock) Observe(value string, revision int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if revision < s.fence || (value != "" && revision <= s.lostFence) {
+func (l *LeaderLock) Observe(value string, revision int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if revision < l.fence || (value != "" && revision <= l.lostFence) {
 		return
 	}
-	s.occupied, s.foreignRevision = value != "", 0
-	if value == s.name && s.fence == 0 && s.leaseID != "" {
+	l.occupied, l.foreignRevision = value != "", 0
+	if value == l.name && l.fence == 0 && l.leaseID != "" {
 		// A write whose outcome was unknown was carried out after all. Left
 		// alone, the seat would stay with a process that does not know of it.
-		s.markAcquired(revision)
+		l.markAcquired(revision)
 		return
 	}
-	if s.fence != 0 && (value != s.name || revision != s.fence) {
-		s.markLost()
+	if l.fence != 0 && (value != l.name || revision != l.fence) {
+		l.markLost()
 	}
 }
 
 // markLost notes that the seat is held no more; the caller holds mu.
-func (s *LeaderLock) markLost() {
-	s.lostFence, s.fence = s.fence, 0
-	s.lostAt = clock.Now()
-	s.log.WithField("event", "seat_lost").Warn("another process may give the orders now")
+func (l *LeaderLock) markLost() {
+	l.lostFence, l.fence = l.fence, 0
+	l.lostAt = clock.Now()
+	l.log.WithField("event", "seat_lost").Warn("another process may give the orders now")
 }
 
 // ObserveForeign notes that the store has an entry at the key, of a revision, that no
 // holder wrote. It hangs on no lease, so that waiting for its end nobody would give
 // orders any more. After a pause, in which a holder whose entry it replaced has
 // learnt that or has lost its lease, the seat is taken over it.
-func (s *LeaderLock) ObserveForeign(revision int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if revision < s.fence || revision == s.foreignRevision {
+func (l *LeaderLock) ObserveForeign(revision int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if revision < l.fence || revision == l.foreignRevision {
 		return
 	}
-	s.occupied, s.foreignRevision, s.foreignAt = true, revision, clock.Now()
-	if s.fence != 0 {
-		s.markLost()
+	l.occupied, l.foreignRevision, l.foreignAt = true, revision, clock.Now()
+	if l.fence != 0 {
+		l.markLost()
 	}
 }
 
 // available reports whether the seat may be sought; the caller holds mu.
-func (s *LeaderLock) available() bool {
-	if s.occupied && (s.foreignRevision == 0 || s.foreignAt.Since() < s.backoff) {
+func (l *LeaderLock) available() bool {
+	if l.occupied && (l.foreignRevision == 0 || l.foreignAt.Since() < l.backoff) {
 		return false
 	}
-	return !s.acquiring && (s.lostAt == 0 || s.lostAt.Since() >= s.backoff)
+	return !l.acquiring && (l.lostAt == 0 || l.lostAt.Since() >= l.backoff)
 }
 
 // TryAcquire tries to take the seat if it is free.
-func (s *LeaderLock) TryAcquire(ctx context.Context) bool {
-	s.mu.Lock()
-	lease := s.session.ID()
-	if lease == "" || !s.available() {
-		s.mu.Unlock()
+func (l *LeaderLock) TryAcquire(ctx context.Context) bool {
+	l.mu.Lock()
+	leaseID := l.session.ID()
+	if leaseID == "" || !l.available() {
+		l.mu.Unlock()
 		return false
 	}
-	s.acquiring = true
-	s.leaseID = lease
-	overRevision := s.foreignRevision
-	s.mu.Unlock()
-	fence, err := s.write(ctx, lease, overRevision)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.acquiring = false
+	l.acquiring = true
+	l.leaseID = leaseID
+	overRevision := l.foreignRevision
+	l.mu.Unlock()
+	fence, err := l.write(ctx, leaseID, overRevision)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.acquiring = false
 	if errors.Is(err, store.ErrConflict) {
-		s.occupied, s.foreignRevision = true, 0
+		l.occupied, l.foreignRevision = true, 0
 	}
-	if err != nil || s.fence != 0 {
-		return s.fence != 0
+	if err != nil || l.fence != 0 {
+		return l.fence != 0
 	}
-	s.markAcquired(fence)
+	l.markAcquired(fence)
 	return true
 }
 
 // markAcquired notes that the seat is held under a fence; the caller holds mu.
-func (s *LeaderLock) markAcquired(fence int64) {
-	s.occupied, s.fence, s.foreignRevision = true, fence, 0
-	s.log.WithFields(logrus.Fields{"event": "seat_taken", "fence": fence}).Info("this process gives the orders now")
+func (l *LeaderLock) markAcquired(fence int64) {
+	l.occupied, l.fence, l.foreignRevision = true, fence, 0
+	l.log.WithFields(logrus.Fields{"event": "seat_taken", "fence": fence}).Info("this process gives the orders now")
 }
 
 // Release gives the seat to whoever seeks it, while this process's lease goes on.
 // One that is being taken just now stays until the lease ends.
-func (s *LeaderLock) Release(ctx context.Context) error {
-	s.mu.Lock()
-	fence := s.fence
+func (l *LeaderLock) Release(ctx context.Context) error {
+	l.mu.Lock()
+	fence := l.fence
 	if fence != 0 {
-		s.markLost()
+		l.markLost()
 	}
-	s.mu.Unlock()
+	l.mu.Unlock()
 	if fence == 0 {
 		return nil
 	}
-	_, err := s.store.Delete(ctx, s.key, fence)
+	_, err := l.store.Delete(ctx, l.key, fence)
 	if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrNotFound) {
 		// It has passed to another process already.
 		return nil
@@ -166,14 +166,14 @@
 }
 
 // write writes the key over the revision given; 0 is none.
-func (s *LeaderLock) write(ctx context.Context, lease store.LeaseID, overRevision int64) (int64, error) {
-	fence, err := s.store.Put(ctx, s.key, []byte(s.name), overRevision, lease)
+func (l *LeaderLock) write(ctx context.Context, lease store.LeaseID, overRevision int64) (int64, error) {
+	fence, err := l.store.Put(ctx, l.key, []byte(l.name), overRevision, lease)
 	if err == nil || errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrUnavailable) {
 		return fence, err
 	}
 	// The answer was lost; the key tells whether the call was carried out.
-	entry, readErr := s.store.Get(ctx, s.key)
-	if readErr == nil && string(entry.Value) == s.name {
+	entry, readErr := l.store.Get(ctx, l.key)
+	if readErr == nil && string(entry.Value) == l.name {
 		return entry.Revision, nil
 	}
 	return 0, err
--- a/rollout/office_test.go
+++ b/rollout/office_test.go
@@ -13,27 +13,27 @@
 	"acaciakeel/store"
 )
 
-// memory is a store with one key, which answers as told.
-type memory struct {
+// memoryStore is a store with one key, which answers as told.
+type memoryStore struct {
 	store.Store
 	value    string
 	revision int64
-	// loseAnswer loses the answer of the next write after its effect.
-	loseAnswer bool
-	// deaf fails reads.
-	deaf   bool
-	writes int
+	// dropResponse loses the answer of the next write after its effect.
+	dropResponse bool
+	// failReads fails reads.
+	failReads bool
+	writes    int
 }
 
-var errLost = errors.New("answer lost")
+var errNoResponse = errors.New("answer lost")
 
-func (m *memory) Grant(context.Context, time.Duration) (store.LeaseID, error) { return "7", nil }
-func (m *memory) Renew(context.Context, store.LeaseID) error                  { return nil }
-func (m *memory) Revoke(context.Context, store.LeaseID) error                 { m.value = ""; return nil }
+func (m *memoryStore) Grant(context.Context, time.Duration) (store.LeaseID, error) { return "7", nil }
+func (m *memoryStore) Renew(context.Context, store.LeaseID) error                  { return nil }
+func (m *memoryStore) Revoke(context.Context, store.LeaseID) error                 { m.value = ""; return nil }
 
-func (m *memory) Get(context.Context, string) (store.Entry, error) {
-	if m.deaf {
-		return store.Entry{}, errLost
+func (m *memoryStore) Get(context.Context, string) (store.Entry, error) {
+	if m.failReads {
+		return store.Entry{}, errNoResponse
 	}
 	if m.value == "" {
 		return store.Entry{}, store.ErrNotFound
@@ -41,28 +41,28 @@
 	return store.Entry{Value: []byte(m.value), Revision: m.revision}, nil
 }
 
-func (m *memory) Put(_ context.Context, _ string, value []byte, ifRevision int64, _ store.LeaseID) (int64, error) {
+func (m *memoryStore) Put(_ context.Context, _ string, value []byte, ifRevision int64, _ store.LeaseID) (int64, error) {
 	m.writes++
 	if m.value != "" && (ifRevision == 0 || ifRevision != m.revision) {
 		return 0, store.ErrConflict
 	}
 	m.value = string(value)
 	m.revision++
-	if m.loseAnswer {
-		m.loseAnswer = false
-		return 0, errLost
+	if m.dropResponse {
+		m.dropResponse = false
+		return 0, errNoResponse
 	}
 	return m.revision, nil
 }
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// newSeat returns a seat under a lease that is held.
-func newSeat(t *testing.T, m *memory, name string) (*LeaderLock, *lease.Session) {
+// newTestLock returns a seat under a lease that is held.
+func newTestLock(t *testing.T, m *memoryStore, name string) (*LeaderLock, *lease.Session) {
 	t.Helper()
 	session := lease.NewSession(m, time.Minute, time.Second)
 	granted := make(chan struct{})
@@ -70,14 +70,14 @@
 	go session.Run(ctx, func(context.Context, store.LeaseID) { close(granted) })
 	<-granted
 	t.Cleanup(cancel)
-	return NewLeaderLock(m, session, "seat", name, time.Minute, quiet()), session
+	return NewLeaderLock(m, session, "seat", name, time.Minute, discardLogger()), session
 }
 
 // The seat's write is carried out and its answer lost. Were the process to
 // take it for failed, nobody would give orders until the lease lapses.
-func TestSeatSettlesALostAnswer(t *testing.T) {
-	m := &memory{loseAnswer: true}
-	seat, _ := newSeat(t, m, "a")
+func TestLockAcquiredDespiteLostResponse(t *testing.T) {
+	m := &memoryStore{dropResponse: true}
+	seat, _ := newTestLock(t, m, "a")
 	if !seat.TryAcquire(t.Context()) {
 		t.Fatal("the seat was written and not taken")
 	}
@@ -89,9 +89,9 @@
 // A process that stops serves its last requests for seconds. Operators saw a
 // rollout stand still for eight: the stopping process had given its lease up,
 // taken a new one and the seat with it, and was then killed holding both.
-func TestSeatStaysLostAfterTheLeaseEnds(t *testing.T) {
-	m := &memory{}
-	seat, session := newSeat(t, m, "a")
+func TestLockNotReacquiredAfterLeaseCloses(t *testing.T) {
+	m := &memoryStore{}
+	seat, session := newTestLock(t, m, "a")
 	seat.TryAcquire(t.Context())
 	if err := session.Close(t.Context()); err != nil {
 		t.Fatal(err)
@@ -107,9 +107,9 @@
 
 // Two processes that take the seat by turns may both have orders on the way, so
 // one that lost it leaves it alone for a while.
-func TestSeatIsNotTakenByTurns(t *testing.T) {
-	m := &memory{}
-	seat, _ := newSeat(t, m, "a")
+func TestLockBackoffAfterLoss(t *testing.T) {
+	m := &memoryStore{}
+	seat, _ := newTestLock(t, m, "a")
 	seat.TryAcquire(t.Context())
 	m.value = ""
 	seat.Observe("", m.revision+1)
@@ -121,9 +121,9 @@
 // A listing is read, the seat is taken, and then the listing arrives, without
 // the seat. Taken for a loss, the seat stayed with a process that gave no
 // orders and kept its lease, and no runner changed its weights any more.
-func TestSeatOutlivesAnOlderListing(t *testing.T) {
-	m := &memory{revision: 10}
-	seat, _ := newSeat(t, m, "a")
+func TestLockIgnoresOlderListing(t *testing.T) {
+	m := &memoryStore{revision: 10}
+	seat, _ := newTestLock(t, m, "a")
 	seat.TryAcquire(t.Context())
 	seat.Observe("", 10)
 	if _, ok := seat.Held(); !ok {
@@ -133,9 +133,9 @@
 
 // The answer of the seat's write is lost, and so is that of reading it back. The
 // watch tells later that it was carried out; the process must then know.
-func TestSeatIsAdoptedWhenTheWatchTells(t *testing.T) {
-	m := &memory{loseAnswer: true, deaf: true}
-	seat, _ := newSeat(t, m, "a")
+func TestLockAcquiredThroughWatch(t *testing.T) {
+	m := &memoryStore{dropResponse: true, failReads: true}
+	seat, _ := newTestLock(t, m, "a")
 	if seat.TryAcquire(t.Context()) {
 		t.Fatal("took a seat of which nothing was known")
 	}
@@ -148,9 +148,9 @@
 // Another writer puts bytes of its own where the holder's name stands. They hang on
 // no lease and never lapse: nobody gave orders any more, and runners stayed on old
 // weights. The holder must stop at once; after the pause the seat is taken over them.
-func TestSeatIsTakenOverAForeignEntry(t *testing.T) {
-	m := &memory{value: "bytes", revision: 5}
-	seat, _ := newSeat(t, m, "a")
+func TestLockReplacesForeignEntry(t *testing.T) {
+	m := &memoryStore{value: "bytes", revision: 5}
+	seat, _ := newTestLock(t, m, "a")
 	seat.ObserveForeign(5)
 	if seat.TryAcquire(t.Context()) || m.writes != 0 {
 		t.Errorf("sought at once with %d writes, while a holder before may not know yet", m.writes)
@@ -174,7 +174,7 @@
 	}
 }
 
-func (m *memory) Delete(_ context.Context, _ string, ifRevision int64) (int64, error) {
+func (m *memoryStore) Delete(_ context.Context, _ string, ifRevision int64) (int64, error) {
 	if m.value == "" || m.revision != ifRevision {
 		return 0, store.ErrConflict
 	}
@@ -185,9 +185,9 @@
 
 // A process that stops keeps its lease while it serves its last requests. The seat
 // passes on at once all the same: new weights named meanwhile would wait.
-func TestSeatIsReleasedBeforeTheLease(t *testing.T) {
-	m := &memory{}
-	seat, _ := newSeat(t, m, "a")
+func TestLockReleaseBeforeLeaseEnds(t *testing.T) {
+	m := &memoryStore{}
+	seat, _ := newTestLock(t, m, "a")
 	seat.TryAcquire(t.Context())
 	if err := seat.Release(t.Context()); err != nil {
 		t.Fatal(err)
@@ -203,9 +203,9 @@
 
 // The seat has passed to another process by the time that one gives it up. It
 // stays with the other one.
-func TestReleaseLeavesAnothersSeat(t *testing.T) {
-	m := &memory{}
-	seat, _ := newSeat(t, m, "a")
+func TestReleaseKeepsLockOfOtherHolder(t *testing.T) {
+	m := &memoryStore{}
+	seat, _ := newTestLock(t, m, "a")
 	seat.TryAcquire(t.Context())
 	m.value, m.revision = "b", m.revision+1
 	if err := seat.Release(t.Context()); err != nil || m.value != "b" {
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -19,8 +19,8 @@
 	return out
 }
 
-// ordered returns the runners that get an order now.
-func ordered(in Input) []fleet.Runner {
+// runnersToOrder returns the runners that get an order now.
+func runnersToOrder(in Input) []fleet.Runner {
 	var out []fleet.Runner
 	for _, t := range Plan(in) {
 		if t.WaitReason == None {
@@ -30,8 +30,8 @@
 	return out
 }
 
-// sameFor has n runners be behind for as long.
-func sameFor(n int, d time.Duration) map[string]time.Duration {
+// staleFor has n runners be behind for as long.
+func staleFor(n int, d time.Duration) map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for i := range n {
 		out[fmt.Sprintf("r%d", i)] = d
@@ -41,7 +41,7 @@
 
 // Runners whose weights were replaced first run out of time first; runners with
 // long runs would stand nearly idle until those end, so they wait.
-func TestNextOrders(t *testing.T) {
+func TestPlan(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		in   Input
@@ -54,15 +54,15 @@
 		{"long runs wait for so long only", Input{Desired: 2, Runners: runnersAt(1), LongRuns: map[string]int{"r0": 1}, StaleFor: map[string]time.Duration{"r0": longRunGrace + 1}, MaxConcurrent: 1}, "[r0]"},
 		{"who is short of time before the idler", Input{Desired: 3, Runners: runnersAt(2, 1), LongRuns: map[string]int{"r1": 1}, StaleFor: map[string]time.Duration{"r0": time.Second, "r1": 8 * time.Second}, MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: 4 * time.Second}, "[r1]"},
 		{"the idler while time is left", Input{Desired: 3, Runners: runnersAt(2, 1), LongRuns: map[string]int{"r1": 1}, StaleFor: map[string]time.Duration{"r0": time.Second, "r1": 4 * time.Second}, MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: 2 * time.Second}, "[r0]"},
-		{"more at once where few don't end in time", Input{Desired: 2, Runners: runnersAt(1, 1, 1, 1, 1, 1, 1, 1), StaleFor: sameFor(8, 2*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: 3 * time.Second}, "[r0 r1 r2 r3]"},
-		{"who gets nothing any more and has some waiting, at once", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, Inflight: map[string]int{"r1": 2}, StaleFor: sameFor(2, 11*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: time.Second}, "[r1]"},
-		{"who gets nothing any more and is idle, in its turn", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, StaleFor: sameFor(2, 11*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: time.Second}, "[]"},
+		{"more at once where few don't end in time", Input{Desired: 2, Runners: runnersAt(1, 1, 1, 1, 1, 1, 1, 1), StaleFor: staleFor(8, 2*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: 3 * time.Second}, "[r0 r1 r2 r3]"},
+		{"who gets nothing any more and has some waiting, at once", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, Inflight: map[string]int{"r1": 2}, StaleFor: staleFor(2, 11*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: time.Second}, "[r1]"},
+		{"who gets nothing any more and is idle, in its turn", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, StaleFor: staleFor(2, 11*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: time.Second}, "[]"},
 		{"those that leave are left alone", Input{Desired: 2, Runners: []fleet.Runner{{ID: "r0", Draining: true}}, MaxConcurrent: 1}, "[]"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.in.Model = "m"
 			ids := []string{}
-			for _, r := range ordered(test.in) {
+			for _, r := range runnersToOrder(test.in) {
 				ids = append(ids, r.ID)
 			}
 			if got := fmt.Sprint(ids); got != test.want {
@@ -75,7 +75,7 @@
 // Simulated to its end, a rollout brings every runner to the newest weights,
 // also where more are named in the middle, with no runner ordered twice for one
 // version.
-func TestRolloutEnds(t *testing.T) {
+func TestRolloutCompletes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runners := runnersAt(rapid.SliceOfN(rapid.Int64Range(1, 3), 1, 30).Draw(t, "versions")...)
 		in := Input{Model: "m", Desired: 3, Runners: runners, MaxConcurrent: new(forecast.Loads).AtOnce(len(runners)), InProgress: map[string]time.Duration{}}
@@ -84,14 +84,14 @@
 			if step == 5 {
 				in.Desired = 4
 			}
-			for _, r := range ordered(in) {
+			for _, r := range runnersToOrder(in) {
 				order := fmt.Sprint(r.ID, in.Desired)
 				if given[order] {
 					t.Fatalf("ordered %s twice", order)
 				}
 				given[order] = true
 				in.InProgress[r.ID] = 0
-				runnerOf(runners, r.ID).Weights["m"] = in.Desired
+				runnerByID(runners, r.ID).Weights["m"] = in.Desired
 			}
 			if step%2 == 1 {
 				in.InProgress = map[string]time.Duration{}
@@ -105,7 +105,7 @@
 	})
 }
 
-func runnerOf(runners []fleet.Runner, id string) *fleet.Runner {
+func runnerByID(runners []fleet.Runner, id string) *fleet.Runner {
 	for i := range runners {
 		if runners[i].ID == id {
 			return &runners[i]
@@ -118,49 +118,49 @@
 // takes. Passed over for idler ones at each naming, a quarter of the runners had their
 // first order when nothing could be sent to them any more. Whatever the sizes, where all
 // orders fit into the time that half of the runners may be away, none comes to its bound.
-func TestNamesInSeriesPassNobodyOver(t *testing.T) {
+func TestFrequentReleasesStarveNoRunner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(4, 60).Draw(t, "runners")
 		each := time.Duration(rapid.IntRange(10, 60).Draw(t, "order in tenths of a second")) * 100 * time.Millisecond
 		names := time.Duration(rapid.IntRange(10, 60).Draw(t, "pause between names in tenths of a second")) * 100 * time.Millisecond
 		// Half of the runners at a time, in rounds that end with the one that was begun.
 		bound := 4*each + time.Duration(rapid.IntRange(0, 100).Draw(t, "more in tenths of a second"))*100*time.Millisecond
-		playNames(t, n, each, names, bound, rapid.SliceOfN(rapid.IntRange(0, 3), n, n).Draw(t, "long runs"))
+		simulateReleases(t, n, each, names, bound, rapid.SliceOfN(rapid.IntRange(0, 3), n, n).Draw(t, "long runs"))
 	})
 }
 
-// playNames plays a minute of names in series and fails where a runner comes to its bound.
-func playNames(t *rapid.T, n int, each, names, bound time.Duration, long []int) {
+// simulateReleases plays a minute of names in series and fails where a runner comes to its bound.
+func simulateReleases(t *rapid.T, n int, orderDuration, interval, maxStaleness time.Duration, longRuns []int) {
 	const step = 100 * time.Millisecond
 	runners := runnersAt(make([]int64, n)...)
-	named := []time.Duration{0}
+	released := []time.Duration{0}
 	ends := map[string]time.Duration{}
-	in := Input{Model: "m", Runners: runners, LongRuns: map[string]int{}, MaxConcurrent: new(forecast.Loads).AtOnce(n), MaxStaleness: bound, OrderDuration: each}
-	for i, l := range long {
+	in := Input{Model: "m", Runners: runners, LongRuns: map[string]int{}, MaxConcurrent: new(forecast.Loads).AtOnce(n), MaxStaleness: maxStaleness, OrderDuration: orderDuration}
+	for i, l := range longRuns {
 		in.LongRuns[runners[i].ID] = l
 	}
 	for now := time.Duration(0); now < time.Minute; now += step {
-		if now-named[len(named)-1] >= names {
-			named = append(named, now)
+		if now-released[len(released)-1] >= interval {
+			released = append(released, now)
 		}
-		in.Desired = int64(len(named))
+		in.Desired = int64(len(released))
 		in.StaleFor, in.InProgress = map[string]time.Duration{}, map[string]time.Duration{}
 		for _, r := range runners {
 			if end, ok := ends[r.ID]; ok && now >= end {
 				delete(ends, r.ID)
 			} else if ok {
-				in.InProgress[r.ID] = each - (end - now)
+				in.InProgress[r.ID] = orderDuration - (end - now)
 			}
 			if at := r.Weights["m"]; at < in.Desired {
-				in.StaleFor[r.ID] = now - named[at]
+				in.StaleFor[r.ID] = now - released[at]
 			}
-			if _, ok := ends[r.ID]; !ok && in.StaleFor[r.ID] > bound {
+			if _, ok := ends[r.ID]; !ok && in.StaleFor[r.ID] > maxStaleness {
 				t.Fatalf("%s has weights %d at %v, replaced for %v, and no order", r.ID, r.Weights["m"], now, in.StaleFor[r.ID])
 			}
 		}
-		for _, r := range ordered(in) {
-			ends[r.ID] = now + each
-			runnerOf(runners, r.ID).Weights["m"] = in.Desired
+		for _, r := range runnersToOrder(in) {
+			ends[r.ID] = now + orderDuration
+			runnerByID(runners, r.ID).Weights["m"] = in.Desired
 		}
 	}
 }
