--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -164,8 +164,8 @@
 	}
 	if len(runners) > 0 {
 		known := c.fleet.Loads(runners[0].Service)
-		in.MaxConcurrent = known.AtOnce(len(runners))
-		in.MaxStaleness, in.OrderDuration = c.maxStaleness, cmp.Or(c.orderDuration, known.Order())
+		in.MaxConcurrent = known.MaxConcurrent(len(runners))
+		in.MaxStaleness, in.OrderDuration = c.maxStaleness, cmp.Or(c.orderDuration, known.OrderDuration())
 	}
 	for _, r := range runners {
 		load := c.fleet.Inflight(r.Life())
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -78,7 +78,7 @@
 func TestRolloutCompletes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runners := runnersAt(rapid.SliceOfN(rapid.Int64Range(1, 3), 1, 30).Draw(t, "versions")...)
-		in := Input{Model: "m", Desired: 3, Runners: runners, MaxConcurrent: new(forecast.Loads).AtOnce(len(runners)), InProgress: map[string]time.Duration{}}
+		in := Input{Model: "m", Desired: 3, Runners: runners, MaxConcurrent: new(forecast.WeightLoads).MaxConcurrent(len(runners)), InProgress: map[string]time.Duration{}}
 		given := map[string]bool{}
 		for step := 0; step < 200; step++ {
 			if step == 5 {
@@ -135,7 +135,7 @@
 	runners := runnersAt(make([]int64, n)...)
 	released := []time.Duration{0}
 	ends := map[string]time.Duration{}
-	in := Input{Model: "m", Runners: runners, LongRuns: map[string]int{}, MaxConcurrent: new(forecast.Loads).AtOnce(n), MaxStaleness: maxStaleness, OrderDuration: orderDuration}
+	in := Input{Model: "m", Runners: runners, LongRuns: map[string]int{}, MaxConcurrent: new(forecast.WeightLoads).MaxConcurrent(n), MaxStaleness: maxStaleness, OrderDuration: orderDuration}
 	for i, l := range longRuns {
 		in.LongRuns[runners[i].ID] = l
 	}
