--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -98,7 +98,7 @@
 		}
 		for _, c := range customers {
 			if diff := (served[c] - served["a"]).Abs(); diff > 110*time.Millisecond {
-				t.Fatalf("served %v", served)
+				t.Fatalf("customers were not served equally: %v", served)
 			}
 		}
 	})
@@ -167,7 +167,7 @@
 		t.Errorf("reserved %v, want 20ms", got)
 	}
 	if got := r.Cost(start.Add(time.Second)); got != 0 {
-		t.Errorf("reserved %v after the time of reservations", got)
+		t.Errorf("reserved %v after the reservations expired, want 0", got)
 	}
 }
 
@@ -184,11 +184,11 @@
 		return Dispatch
 	}
 	if item := q.Next(hold); item == nil || item.ID != "short" {
-		t.Errorf("passed by %v, want short", item)
+		t.Errorf("next is %v, want short", item)
 	}
 	q.Push(&Item{ID: "next", Customer: "b", Cost: time.Millisecond}, 0, start)
 	verdict = Block
 	if item := q.Next(hold); item != nil {
-		t.Errorf("%s passed a blocked request", item.ID)
+		t.Errorf("%s overtook a blocked request", item.ID)
 	}
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -33,9 +33,8 @@
 	return out
 }
 
-// Prompts that share the outer level must go to the same small subset of runners
-// whatever their inner levels are, and separate rankers must agree on the order;
-// otherwise cached prefixes are spread over all runners.
+// Prompts that share the outer level must use one small subset of runners, in the same
+// order for every ranker; otherwise cached prefixes spread over all runners.
 func TestRankNests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(4, 60).Draw(t, "runners")
@@ -76,7 +75,7 @@
 		after := o.Rank(rs, staying, boundaries(hash), nil, 18)
 		want := append(append([]int32{}, before[:5]...), before[6:]...)
 		if fmt.Sprint(after) != fmt.Sprint(want) {
-			t.Fatalf("order changed beyond the runner that left: %v, want %v", after, want)
+			t.Fatalf("order changed for other runners than the one that left: %v, want %v", after, want)
 		}
 	}
 }
@@ -107,14 +106,14 @@
 		answers []Estimate
 		want    int
 	}{
-		{"nobody is ready", []Estimate{{}, {}}, -1},
+		{"no runner is ready", []Estimate{{}, {}}, -1},
 		{"the prefix wins over an idle runner", []Estimate{ready(0, 0), ready(8000, 0.1)}, 1},
 		{"a long queue loses to recomputing", []Estimate{ready(8000, 2), ready(0, 0)}, 1},
-		{"noise leaves the first in order", []Estimate{ready(8000, 0.0015), ready(8000, 0)}, 0},
-		{"a suspect runner is left for later", []Estimate{{Ready: true, CachedTokens: 8000, PrefillRate: 40000, PenaltySeconds: 0.5}, ready(8000, 0.1)}, 1},
-		{"a pressed cache gives way to an idle one", []Estimate{
+		{"a difference within noise keeps the first in order", []Estimate{ready(8000, 0.0015), ready(8000, 0)}, 0},
+		{"a penalized runner comes later", []Estimate{{Ready: true, CachedTokens: 8000, PrefillRate: 40000, PenaltySeconds: 0.5}, ready(8000, 0.1)}, 1},
+		{"a full cache loses to an idle one", []Estimate{
 			{Ready: true, PrefillRate: 40000, LifetimeSeconds: 1}, ready(0, 0.01)}, 1},
-		{"the other data centre is used when it is quicker", []Estimate{
+		{"the other data centre is used if it is faster", []Estimate{
 			ready(8000, 0.05), {Ready: true, CachedTokens: 8000, PrefillRate: 40000, NetworkSeconds: 0.001}}, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,9 +10,9 @@
 func TestParseRejectsUnknownNames(t *testing.T) {
 	off, err := Parse([]string{"apart", "saving"})
 	if err != nil || !off[ReserveForLight] || !off[CacheSaving] || off[Packing] {
-		t.Errorf("switched off %v, %v", off, err)
+		t.Errorf("Parse returned %v, %v", off, err)
 	}
 	if _, err = Parse([]string{"apart", "packs"}); err == nil || !strings.Contains(err.Error(), `"packs"`) || !strings.Contains(err.Error(), "packing") {
-		t.Errorf("%v does not name the mistake and what there is", err)
+		t.Errorf("error %v does not contain the unknown name and the valid ones", err)
 	}
 }
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -21,7 +21,7 @@
 		}
 	}
 	if retries < 100 || retries > 100+defaultBurst {
-		t.Errorf("%d retries for 1000 requests", retries)
+		t.Errorf("%d retries for 1000 requests, want 100 to 100+defaultBurst", retries)
 	}
 }
 
@@ -42,17 +42,16 @@
 		{"too many sends", &notRun, true, MaxAttempts, false},
 		{"a final refusal", refusal.New(refusal.DeadlineUnmet, "", ""), true, 1, false},
 		{"a full queue", refusal.New(refusal.QueueFull, "", ""), true, 1, false},
-		{"key in use elsewhere", refusal.NewUnknown(""), false, 1, false},
+		{"outcome unknown", refusal.NewUnknown(""), false, 1, false},
 	} {
 		if got := Allowed(test.refused, test.idempotent, test.sends); got != test.want {
-			t.Errorf("%s: %v", test.name, got)
+			t.Errorf("%s: allowed = %v", test.name, got)
 		}
 	}
 }
 
-// Twenty processes that share a limit of 82 extra retries in ten seconds retry at once
-// after a quiet period; with 20 accumulated retries each, they sent 651 where 624 were
-// allowed.
+// Twenty processes with 20 accumulated retries each retried at once after a quiet
+// period: they sent 651 where their shared limit allowed 624.
 func TestSharedBudgetInBurst(t *testing.T) {
 	const (
 		processes = 20
@@ -74,6 +73,6 @@
 		}
 	}
 	if allowed := 0.2*processes*each + extra; float64(sent) > allowed {
-		t.Errorf("%d retries, over %v", sent, allowed)
+		t.Errorf("%d retries, want at most %v", sent, allowed)
 	}
 }
--- a/rollout/deadline.go
+++ b/rollout/deadline.go
@@ -8,8 +8,8 @@
 	"acaciakeel/fleet"
 )
 
-// deadlines is an input with the runners whose time is short: those that have less than
-// the orders that are due no later take, as many at once as usual.
+// deadlines is the input of a plan with the runners that may not get their order in
+// time at the usual concurrency.
 type deadlines struct {
 	Input
 	urgent map[string]bool
@@ -25,7 +25,8 @@
 		batches := i/max(1, in.MaxConcurrent) + 1
 		left := d.timeLeft(byTimeLeft[i])
 		if left < time.Duration(batches)*in.OrderDuration {
-			// All that are due no later are short of time, too.
+			// The runners that are due no later delay this one, so all of them are
+			// urgent.
 			for _, r := range byTimeLeft[:i+1] {
 				d.urgent[r.ID] = true
 			}
@@ -35,20 +36,23 @@
 	return d
 }
 
-// timeLeft returns the time in which a runner gets requests yet.
+// timeLeft returns for how long a runner still gets requests.
 func (d deadlines) timeLeft(r fleet.Runner) time.Duration {
 	return d.MaxStaleness - d.StaleFor[r.ID]
 }
 
-// bypassesLimit reports whether a runner gets no requests any more and has some that may
-// still wait for their slot: an order refuses these unrun, so that they go elsewhere
-// before the bound, and its load begins only when the runs have ended.
+// bypassesLimit reports whether a runner gets its order regardless of the concurrency
+// limit. Its deadline has passed, so it gets no new requests, but some requests may
+// still wait there for a slot. An order makes the runner refuse those without running
+// them, so that they are sent elsewhere before the bound on stale weights; the load
+// begins only when the running requests have ended.
 func (d deadlines) bypassesLimit(r fleet.Runner) bool {
 	return d.MaxStaleness > 0 && d.timeLeft(r) <= 0 && d.Inflight[r.ID] > 0
 }
 
-// concurrency returns how many orders may be under way, so that each of those due, in their
-// order, has its order ended in time; half of the runners stay in service.
+// concurrency returns how many orders may be in progress so that each due runner, in
+// this order, completes its order in time. Above MaxConcurrent, at least half of the
+// runners stay in service.
 func (d deadlines) concurrency(due []fleet.Runner) int {
 	limit := d.MaxConcurrent
 	for i, r := range due {
--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -15,39 +15,41 @@
 	"acaciakeel/policy"
 )
 
-// RunnerClient reaches runners.
+// RunnerClient sends calls to runners.
 type RunnerClient interface {
-	// Report asks a runner for its state.
+	// Report returns the state of a runner.
 	Report(ctx context.Context, of fleet.Runner) (fleet.Report, error)
-	// Order gives an order.
+	// Order sends a load order to its runner.
 	Order(ctx context.Context, o fleet.Order) (fleet.OrderResult, error)
 }
 
-// Leadership says whether this process may give orders now, and under which fence.
+// Leadership tells whether this process may send orders now, and with which fencing
+// token.
 type Leadership interface {
 	Held() (fence int64, ok bool)
-	// Remaining returns for how long the right lasts at least.
+	// Remaining returns for how long the leadership lasts at least.
 	Remaining() time.Duration
 }
 
-// ServicesByModel returns which services run a model.
+// ServicesByModel returns the services that run each model.
 type ServicesByModel func() map[string][]string
 
-// Config are what a holder gives its orders with.
+// Config configures a Controller.
 type Config struct {
 	Leadership Leadership
 	Client     RunnerClient
 	Fleet      *fleet.Fleet
 	Services   ServicesByModel
-	// Notify is called when there is news of a runner that the others should have
-	// at once: until then they send to one that refuses.
+	// Notify is called after a change that the other entries need at once: until they
+	// know of it, they send requests to a runner that refuses them.
 	Notify  func()
 	Metrics *Metrics
-	// MaxStaleness is for how long after newer weights were named a runner gets requests.
+	// MaxStaleness is how long after the release of newer weights a runner still gets
+	// requests.
 	MaxStaleness time.Duration
 }
 
-// Controller gives the orders while it holds the office.
+// Controller sends load orders to runners while this process is the leader.
 type Controller struct {
 	name         string
 	leadership   Leadership
@@ -60,26 +62,29 @@
 	waits        waitReporter
 	maxStaleness time.Duration
 
-	// truncationDisabled is set while the others do not tell this process what they send.
+	// truncationDisabled is set once the other entries no longer report to this process
+	// which requests they have at runners.
 	truncationDisabled atomic.Bool
 
 	mu sync.Mutex
-	// inProgress are the orders that have not ended, by the id of their runner. Once
-	// the runner starts again its former life's order no longer counts: the new
-	// one would wait for it in vain.
+	// inProgress holds the orders that have not ended, by runner ID. When a runner
+	// restarts, the order of its earlier incarnation no longer counts; otherwise the
+	// restarted runner would never get an order.
 	inProgress map[string]activeOrder
-	// orderDuration is what an order takes, from its turn to the end of the load; 0 until one
-	// was seen.
+	// orderDuration is the smoothed time from planning an order to the end of the load;
+	// 0 until the first order has completed.
 	orderDuration time.Duration
 }
 
-// activeOrder is an order that has not ended: the life of its runner, and since when.
+// activeOrder is an order that has not ended: the incarnation of its runner, and when
+// it was planned.
 type activeOrder struct {
 	life  fleet.Life
 	since time.Time
 }
 
-// NewController returns a holder named name, which is the machine's.
+// NewController returns a controller. name is the name of the VM and is sent with each
+// order.
 func NewController(name string, cfg Config, log logrus.FieldLogger) *Controller {
 	return &Controller{
 		name: name, leadership: cfg.Leadership, client: cfg.Client, fleet: cfg.Fleet, services: cfg.Services, notify: cfg.Notify, maxStaleness: cfg.MaxStaleness, log: log,
@@ -87,13 +92,14 @@
 	}
 }
 
-// DisableTruncation has runners end their streams before they load: the others no longer tell
-// which streams they have there, and those that can't go on elsewhere would be cut.
+// DisableTruncation makes runners finish their streams before they load weights. It is
+// called when the other entries no longer report their streams to this process: streams
+// that cannot be resumed elsewhere would be cut off.
 func (c *Controller) DisableTruncation() {
 	c.truncationDisabled.Store(true)
 }
 
-// Wake makes the holder look at once.
+// Wake triggers a reconciliation without waiting for the interval.
 func (c *Controller) Wake() {
 	select {
 	case c.wake <- struct{}{}:
@@ -101,11 +107,11 @@
 	}
 }
 
-// reconcileInterval is how often the holder looks for runners that fell behind without
-// news, such as one that came back from an outage.
+// reconcileInterval is how often the controller checks for stale runners of which it
+// was not notified, such as one that came back after an outage.
 const reconcileInterval = 300 * time.Millisecond
 
-// Run gives orders until ctx ends.
+// Run sends orders until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
@@ -191,20 +197,21 @@
 	}()
 }
 
-// Figures of one runner's change.
+// Timing of one runner's update.
 const (
-	// firstPollDelay is when a runner is first asked whether its order has ended:
-	// the shortest load. pollEvery is the pause between further questions.
+	// firstPollDelay is the time from sending an order to the first poll of the runner:
+	// the shortest load. pollInterval is the pause between polls.
 	firstPollDelay = 450 * time.Millisecond
 	pollInterval   = 150 * time.Millisecond
-	// orderTimeout is after how long an order counts as lost.
+	// orderTimeout is the time after which an order is considered lost.
 	orderTimeout = 6 * time.Second
-	// busyDuration is for how long a question's answer keeps new requests away.
+	// busyDuration is how long new requests are kept away from a runner each time that
+	// it is marked busy.
 	busyDuration = 700 * time.Millisecond
 )
 
-// updateRunner brings one runner to the desired weights, or gives up so that the next
-// look decides anew.
+// updateRunner brings one runner to the desired weights. If that fails, it returns, and
+// the next reconciliation plans again.
 func (c *Controller) updateRunner(ctx context.Context, t Decision, model string, desired int64) {
 	r, start := t.Runner, time.Now()
 	truncate := c.clear(ctx, t)
@@ -214,12 +221,12 @@
 		c.fleet.Ended(r.Life())
 	}
 	if err != nil {
-		c.logEvent("report_failed", r, model, desired).WithError(err).Warn("the runner can't be asked; it is tried again")
+		c.logEvent("report_failed", r, model, desired).WithError(err).Warn("failed to get the state of the runner; retrying")
 		clock.Sleep(ctx, pollInterval)
 		return
 	}
 	if !c.checkLife(r, report) {
-		c.logEvent("report_other_life", r, model, desired).WithField("reported", report.Born).Warn("another life of the runner answered; what becomes of it is decided anew")
+		c.logEvent("report_other_life", r, model, desired).WithField("reported", report.Born).Warn("report is of another incarnation of the runner; planning again")
 		clock.Sleep(ctx, pollInterval)
 		return
 	}
@@ -234,24 +241,26 @@
 		clock.Sleep(ctx, pollInterval)
 		return
 	}
-	// The office is looked at last before the order leaves: a process that
-	// slept since must not order after another took over.
+	// Leadership is checked immediately before the order is sent: a process that was
+	// suspended in the meantime must not send orders after another one has taken over.
 	fence, ok := c.leadership.Held()
 	if !ok {
 		return
 	}
-	// A later life counts its orders from nothing: by the count of a former one
-	// an order may be carried out that was not meant for it, or a newer one refused.
+	// A restarted runner counts its orders from zero. With the count of the earlier
+	// incarnation, it could carry out an order that was not meant for it, or refuse a
+	// newer one.
 	if !c.fleet.Holds(r.Life()) {
 		return
 	}
 	result, err := c.sendOrder(ctx, fleet.Order{Runner: r, Model: model, Weights: desired, Holder: c.name, Fence: fence, Orders: report.Orders, Truncate: truncate})
-	c.logEvent("order", r, model, desired).WithFields(logrus.Fields{"result": result, "fence": fence, "orders": report.Orders, "truncate": truncate, "cleared_ms": drainTime.Milliseconds(), "inflight": remaining.Inflight, "resumable": remaining.Resumable, "long": remaining.Long}).WithError(err).Info("order given")
+	c.logEvent("order", r, model, desired).WithFields(logrus.Fields{"result": result, "fence": fence, "orders": report.Orders, "truncate": truncate, "cleared_ms": drainTime.Milliseconds(), "inflight": remaining.Inflight, "resumable": remaining.Resumable, "long": remaining.Long}).WithError(err).Info("load order sent")
 	switch result {
 	case fleet.OrderHolds:
 		c.fleet.Learn(r.Life(), model, desired, time.Now())
 	case fleet.OrderMisdirected:
-		// Another runner has the address: this one has ended, whatever the list says.
+		// Another runner answers at this address, so this one has ended even if it is
+		// still listed.
 		c.fleet.Ended(r.Life())
 	case fleet.OrderAccepted:
 		if c.awaitLoad(ctx, r, model, desired) {
@@ -262,23 +271,24 @@
 	}
 }
 
-// Figures of cutting long runs off.
+// Timing of the truncation of long runs.
 const (
-	// drainCheckInterval is how long a runner is kept free of new requests before its long
-	// runs are cut off: until the others heard of it, and short runs end.
+	// drainCheckInterval is how long a runner is kept free of new requests between
+	// checks whether only resumable runs are left. In that time the other entries learn
+	// of it and short runs end.
 	drainCheckInterval = 300 * time.Millisecond
-	// drainChecks is how often that is waited for before the runs are left to end.
+	// drainChecks is the number of checks before the runs are left to end on their own.
 	drainChecks = 4
-	// urgentDrainChecks is the same where the runner's time is short: the runs that can't
-	// go on elsewhere are mostly short ones that end within 3.6 s, and left to end the
-	// long ones keep the runner for longer than that.
+	// urgentDrainChecks is the number of checks for an urgent runner. Runs that cannot
+	// be resumed elsewhere are mostly short and end within 3.6 s, whereas waiting for
+	// the long runs to end takes longer than that.
 	urgentDrainChecks = 12
 )
 
-// clear prepares a runner that has only long runs left, and reports whether
-// these may be cut off: each must be one that goes on at another runner, after
-// its last event. Left to end, the last of them keep a runner of forty or sixty
-// slots out of service for four to six seconds.
+// clear keeps new requests away from a runner with long runs until only resumable runs
+// are left, and reports whether these may be truncated. A truncated run is resumed on
+// another runner after its last event. If they are left to end, the last few long runs
+// keep a runner of 40 or 60 slots out of service for four to six seconds.
 func (c *Controller) clear(ctx context.Context, t Decision) bool {
 	r, checks := t.Runner, drainChecks
 	if t.Urgent {
@@ -298,17 +308,17 @@
 	return false
 }
 
-// sendOrder gives an order, within the time of the office: one that is held up on its way, by
-// a slow link or a connection that takes its time, must not arrive beside those of the
-// next holder.
+// sendOrder sends an order within the remaining time of the leadership. An order that
+// is delayed by a slow link or connection setup must not arrive while the next leader
+// sends its own.
 func (c *Controller) sendOrder(ctx context.Context, o fleet.Order) (fleet.OrderResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.leadership.Remaining())
 	defer cancel()
 	return c.client.Order(ctx, o)
 }
 
-// durationSmoothing is the part of the difference by which one order moves what one takes: the
-// last ten or so tell how long runs last by now.
+// durationSmoothing is the weight of one order in the moving average, so that about the
+// last ten orders determine the estimate.
 const durationSmoothing = 0.1
 
 func (c *Controller) recordDuration(d time.Duration) {
@@ -320,8 +330,8 @@
 	c.orderDuration += time.Duration(durationSmoothing * float64(d-c.orderDuration))
 }
 
-// awaitLoad waits for the end of an order, asking the runner, and reports whether the
-// runner has its weights.
+// awaitLoad polls a runner until its order has ended, and reports whether the runner
+// has loaded the weights.
 func (c *Controller) awaitLoad(ctx context.Context, r fleet.Runner, model string, desired int64) bool {
 	start := time.Now()
 	c.fleet.Busy(r.Life(), start.Add(busyDuration))
@@ -330,15 +340,15 @@
 	for ctx.Err() == nil && time.Since(start) < orderTimeout && c.fleet.Live(r.Life()) {
 		report, err := c.client.Report(ctx, r)
 		if err == nil && !c.checkLife(r, report) {
-			// The order ended with the life that took it; the load that the later
-			// one may do tells nothing of how long this one's took.
+			// The order ended with the incarnation that accepted it. A load by the
+			// later one says nothing about the duration of this order.
 			return false
 		}
 		if err == nil && report.Weights[model] >= desired {
 			c.fleet.Learn(r.Life(), model, desired, time.Now())
 			c.notify()
 			c.fleet.WeightsLoaded(r.Service, time.Since(start))
-			c.logEvent("loaded", r, model, desired).WithField("took_ms", time.Since(start).Milliseconds()).Info("the runner has its weights")
+			c.logEvent("loaded", r, model, desired).WithField("took_ms", time.Since(start).Milliseconds()).Info("runner has loaded the weights")
 			return true
 		}
 		if err == nil && !report.Busy {
@@ -350,8 +360,9 @@
 	return false
 }
 
-// checkLife checkLife whether a report is of the life of a runner that was asked for.
-// A later one ends that life, and what it says is taken; a former one says nothing.
+// checkLife reports whether a report is of the expected incarnation of a runner. A
+// report of a later incarnation ends the expected one, and its versions are recorded; a
+// report of an earlier one is ignored.
 func (c *Controller) checkLife(r fleet.Runner, report fleet.Report) bool {
 	life := fleet.Life{ID: r.ID, Born: report.Born}
 	if !c.fleet.Hear(life) {
--- a/rollout/holder_test.go
+++ b/rollout/holder_test.go
@@ -9,7 +9,7 @@
 	"acaciakeel/fleet"
 )
 
-// recordingClient notes the recordingClient that leave.
+// recordingClient records the orders that it is given.
 type recordingClient struct {
 	mu     sync.Mutex
 	orders []fleet.Order
@@ -37,12 +37,12 @@
 func (alwaysLeader) Held() (int64, bool)      { return 1, true }
 func (alwaysLeader) Remaining() time.Duration { return time.Minute }
 
-// expiringLeader is an office that ends soon.
+// expiringLeader is a leadership that ends soon.
 type expiringLeader struct{ alwaysLeader }
 
 func (expiringLeader) Remaining() time.Duration { return 50 * time.Millisecond }
 
-// blockedClient is a way on which orders are blockedClient up for good.
+// blockedClient blocks each order until its context ends.
 type blockedClient struct{ recordingClient }
 
 func (h *blockedClient) Order(ctx context.Context, _ fleet.Order) (fleet.OrderResult, error) {
@@ -50,19 +50,18 @@
 	return fleet.OrderLost, ctx.Err()
 }
 
-// The holder looks at its office and sends an order, whose way takes longer than the
-// office lasts. Another process takes the office and orders the same runner; arriving
-// after that, the first order would come under a lower fence. It ends with the office.
+// An order delayed beyond the leadership could arrive after the next leader's order,
+// with a lower fencing token. It must be canceled when the leadership ends.
 func TestOrderIsCanceledWhenLeadershipEnds(t *testing.T) {
 	f := fleet.New("z")
 	r := fleet.Runner{ID: "r", Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
 	f.Put(r)
 	h := NewController("n", Config{Leadership: expiringLeader{}, Client: &blockedClient{}, Fleet: f, Notify: func() {}}, discardLogger())
-	// The test ends by its own time-out if the order does not.
+	// If the order is not canceled, the test fails by its own time-out.
 	h.updateRunner(context.Background(), Decision{Runner: r}, "m", 2)
 }
 
-// updateOne brings one runner with the given requests at work to weights 2 and
+// updateOne updates one runner with the given requests in progress to weights 2 and
 // returns the order that it got.
 func updateOne(t *testing.T, stays ...fleet.Stay) fleet.Order {
 	t.Helper()
@@ -76,15 +75,13 @@
 	h := NewController("n", Config{Leadership: alwaysLeader{}, Client: o, Fleet: f, Notify: func() {}}, discardLogger())
 	h.updateRunner(context.Background(), Decision{Runner: r}, "m", 2)
 	if len(o.orders) != 1 {
-		t.Fatalf("%d orders", len(o.orders))
+		t.Fatalf("got %d orders, want 1", len(o.orders))
 	}
 	return o.orders[0]
 }
 
-// A runner has a few drafts left that run for seconds, and all its other slots
-// stand empty until they end. They are cut off, as each goes on elsewhere after
-// its last event; but never a run that can't, whose user would get half an
-// answer, and none where nothing long holds the runner up.
+// Truncating a run that cannot be resumed elsewhere loses its answer; leaving resumable
+// long runs to end keeps a runner nearly idle for seconds.
 func TestOnlyResumableRunsAreTruncated(t *testing.T) {
 	draft := fleet.Stay{Long: true, Resumable: true}
 	for _, test := range []struct {
@@ -92,16 +89,16 @@
 		stays []fleet.Stay
 		want  bool
 	}{
-		{"drafts alone", []fleet.Stay{draft, draft}, true},
-		{"a draft beside a check that can't go on", []fleet.Stay{draft, {}}, false},
-		{"a draft at its last attempt", []fleet.Stay{{Long: true}}, false},
+		{"only resumable long runs", []fleet.Stay{draft, draft}, true},
+		{"a long run beside one that is not resumable", []fleet.Stay{draft, {}}, false},
+		{"a long run that is not resumable", []fleet.Stay{{Long: true}}, false},
 		{"short runs", []fleet.Stay{{Resumable: true}}, false},
-		{"nothing", nil, false},
+		{"no runs", nil, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			if got := updateOne(t, test.stays...).Truncate; got != test.want {
-				t.Errorf("cut off: %v, want %v", got, test.want)
+				t.Errorf("truncate = %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/rollout/life_test.go
+++ b/rollout/life_test.go
@@ -10,8 +10,8 @@
 	"acaciakeel/fleet"
 )
 
-// restartingRunner is a runner that starts again as told: reports are answered in turn, the
-// last one again and again, and orders are noted.
+// restartingRunner returns the reports in turn, the last one repeatedly, and records
+// orders.
 type restartingRunner struct {
 	mu      sync.Mutex
 	reports []fleet.Report
@@ -36,12 +36,12 @@
 	return l.result, nil
 }
 
-// reportOf is a report of a life on weights 1, or on those given.
+// reportOf returns a report of an incarnation with weights 1, or with those given.
 func reportOf(born, orders int64, weights ...int64) fleet.Report {
 	return fleet.Report{Born: born, Orders: orders, Weights: map[string]int64{"m": append(slices.Clone(weights), 1)[0]}}
 }
 
-// leaderFunc runs something before it says that the seat is held.
+// leaderFunc calls the function before it reports that the leadership is held.
 type leaderFunc func()
 
 func (o leaderFunc) Held() (int64, bool) {
@@ -51,7 +51,8 @@
 
 func (o leaderFunc) Remaining() time.Duration { return time.Minute }
 
-// fleetWithRunner returns a view of one runner in the life that began at 10.
+// fleetWithRunner returns a fleet with one runner, in the incarnation that started at
+// 10.
 func fleetWithRunner() (*fleet.Fleet, fleet.Runner) {
 	f := fleet.New("z")
 	r := fleet.Runner{ID: "r", Born: 10, Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
@@ -59,51 +60,48 @@
 	return f, r
 }
 
-// modelOfLM says that one service runs the model.
 func modelOfLM() map[string][]string { return map[string][]string{"m": {"lm"}} }
 
 func testController(f *fleet.Fleet, o *restartingRunner, onHeld func()) *Controller {
 	return NewController("n", Config{Leadership: leaderFunc(onHeld), Client: o, Fleet: f, Services: modelOfLM, Notify: func() {}}, discardLogger())
 }
 
-// A runner reports three orders, starts again, and the news comes before the order
-// leaves. It must not leave: the new life counts from nothing, so the order would be
-// refused at best, and at worst be carried out after newer ones.
+// A runner restarts after its report and before the order is sent. The new incarnation
+// counts orders from zero, so the order would be refused or, at worst, carried out
+// after newer ones.
 func TestNoOrderAfterRunnerRestarts(t *testing.T) {
 	f, r := fleetWithRunner()
 	o := &restartingRunner{reports: []fleet.Report{reportOf(10, 3)}, result: fleet.OrderAccepted}
 	testController(f, o, func() { f.Hear(fleet.Life{ID: "r", Born: 20}) }).updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
 	if len(o.orders) != 0 {
-		t.Errorf("an order left on the count of %d orders of a former life", o.orders[0].Orders)
+		t.Errorf("an order was sent with the order count %d of the earlier incarnation", o.orders[0].Orders)
 	}
 }
 
-// A report comes from another life than the one that the list shows. Of a later
-// one it ends the former, and the order that follows goes by the new count; of a
-// former one, late, nothing is taken, and no order rests on it.
+// A runner restarts between its report and the order. With the order count of the
+// earlier incarnation, the order could be carried out after newer ones.
 func TestReportFromAnotherIncarnation(t *testing.T) {
 	f, r := fleetWithRunner()
 	o := &restartingRunner{reports: []fleet.Report{reportOf(20, 0)}, result: fleet.OrderHolds}
 	h := testController(f, o, func() {})
 	h.updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
 	if len(o.orders) != 0 || !f.Holds(fleet.Life{ID: "r", Born: 20}) {
-		t.Fatalf("%d orders before the new life was looked at", len(o.orders))
+		t.Fatalf("got %d orders before the new incarnation was planned for, want 0", len(o.orders))
 	}
 	o.reports = []fleet.Report{reportOf(10, 7, 9)}
 	h.updateRunner(t.Context(), Decision{Runner: f.Runners("lm")[0]}, "m", 2)
 	if v := f.Runners("lm")[0].Weights["m"]; len(o.orders) != 0 || v != 1 {
-		t.Errorf("a former life's report led to %d orders and weights %d", len(o.orders), v)
+		t.Errorf("a report of an earlier incarnation led to %d orders and weights %d", len(o.orders), v)
 	}
 	o.reports = []fleet.Report{reportOf(20, 0)}
 	h.updateRunner(t.Context(), Decision{Runner: f.Runners("lm")[0]}, "m", 2)
 	if len(o.orders) != 1 || o.orders[0].Orders != 0 || o.orders[0].Runner.Born != 20 {
-		t.Errorf("sent %+v, want one order to the new life on no orders", o.orders)
+		t.Errorf("sent %+v, want one order to the new incarnation with order count 0", o.orders)
 	}
 }
 
-// A runner starts again while it carries an order out, and comes up with its old
-// weights. The order has ended with its life: the holder must neither wait for it
-// nor take the new life for loaded, but order anew, which it can at once.
+// A report may come from another incarnation than the listed one: a later one replaces
+// it, an earlier one must change nothing and lead to no order.
 func TestOrderEndsWhenRunnerRestarts(t *testing.T) {
 	f, r := fleetWithRunner()
 	f.Name("m", 2, time.Now(), false)
@@ -113,20 +111,20 @@
 	defer cancel()
 	h.startOrder(ctx, Decision{Runner: r}, "m", 2)
 	now := f.Runners("lm")
-	// The report's start is taken first and its weights just after.
+	// The new start time is recorded just before the weights.
 	for end := time.Now().Add(10 * time.Second); (now[0].Born != 20 || now[0].Weights["m"] == 0) && time.Now().Before(end); now = f.Runners("lm") {
 		time.Sleep(time.Millisecond)
 	}
 	if v := now[0].Weights["m"]; v != 1 {
-		t.Fatalf("the new life is taken to have weights %d, want 1", v)
+		t.Fatalf("new incarnation has weights %d, want 1", v)
 	}
 	if due := runnersToOrder(h.planInput("m", 2, now)); len(due) != 1 || due[0].Born != 20 {
-		t.Errorf("due are %+v, want the new life", due)
+		t.Errorf("runners to order: %+v, want the new incarnation", due)
 	}
 }
 
-// The answer to an order comes after its runner has started again. Taken for the
-// new life's, it says that this has weights that it never loaded, or takes it out.
+// The response to an order arrives after the runner has restarted. Applied to the new
+// incarnation, it would record weights that were never loaded, or remove the runner.
 func TestLateOrderResponseIsIgnored(t *testing.T) {
 	for _, result := range []fleet.OrderResult{fleet.OrderHolds, fleet.OrderMisdirected} {
 		f, r := fleetWithRunner()
@@ -135,12 +133,12 @@
 		}}
 		NewController("n", Config{Leadership: alwaysLeader{}, Client: o, Fleet: f, Notify: func() {}}, discardLogger()).updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
 		if now := f.Runners("lm"); len(now) != 1 || now[0].Weights["m"] != 1 {
-			t.Errorf("%s of a former life left %+v", result, now)
+			t.Errorf("result %q for an earlier incarnation changed the runners to %+v", result, now)
 		}
 	}
 }
 
-// slowClient is a runner whose answers to orders come after something else.
+// slowClient calls before ahead of each response to an order.
 type slowClient struct {
 	restartingRunner
 	before func()
--- a/rollout/office.go
+++ b/rollout/office.go
@@ -13,41 +13,44 @@
 	"acaciakeel/store"
 )
 
-// LeaderLock is the office of giving orders: one key of the platform's store that
-// hangs on its holder's lease. The key's revision is the fence.
+// LeaderLock elects the process that sends load orders. It is one key of the platform's
+// store, attached to the lease of its holder. The revision of the key is the fencing
+// token.
 type LeaderLock struct {
 	store   store.Store
 	session *lease.Session
 	key     string
 	name    string
-	// backoff is how long a process that lost the seat leaves it to the others.
+	// backoff is how long a process that lost the lock does not try to acquire it
+	// again.
 	backoff time.Duration
 	log     logrus.FieldLogger
 
 	mu      sync.Mutex
 	fence   int64
 	leaseID store.LeaseID
-	// occupied is set while the key is known to be there.
+	// occupied is set while the key is known to exist.
 	occupied bool
-	// acquiring is set while a try to take it is under way.
+	// acquiring is set while an attempt to write the key is in progress.
 	acquiring bool
-	// lostAt is when the seat was last lostAt, gone the fence under which it was held.
+	// lostAt is when the lock was last lost, and lostFence the fencing token with which
+	// it was held.
 	lostAt    clock.BootTime
 	lostFence int64
-	// foreignRevision is the revision of an entry at the key that no holder wrote, found at
-	// foreignAt; 0 where there is none.
+	// foreignRevision is the revision of an entry at the key that was not written by a
+	// controller, found at foreignAt; 0 if there is none.
 	foreignRevision int64
 	foreignAt       clock.BootTime
 }
 
-// NewLeaderLock returns the seat at key for the process that name names in this
-// start. A process that lost it does not seek it for pause: two that take turns
-// might each have orders on the way while the other gives some.
+// NewLeaderLock returns the lock at key. name identifies this start of the process. A
+// process that lost the lock does not try to acquire it again for backoff: if two
+// processes alternated, each could have orders in flight while the other sends some.
 func NewLeaderLock(s store.Store, session *lease.Session, key, name string, backoff time.Duration, log logrus.FieldLogger) *LeaderLock {
 	return &LeaderLock{store: s, session: session, key: key, name: name, backoff: backoff, log: log}
 }
 
-// Held implements Office.
+// Held implements Leadership.
 func (l *LeaderLock) Held() (int64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,15 +58,16 @@
 	return l.fence, held
 }
 
-// Remaining implements Office.
+// Remaining implements Leadership.
 func (l *LeaderLock) Remaining() time.Duration {
 	return l.session.Remaining()
 }
 
-// Observe notes what the store says of the key at a revision; an empty value is
-// its absence. What is older than the seat's own taking says nothing of it: a
-// listing may have been read before and arrive after. Nor does the taking of one
-// that was given up since: adopted by its late news, it would have two holders.
+// Observe records the value of the key at a revision of the store; an empty value means
+// that the key does not exist. Observations older than the acquisition by this process
+// are ignored, since a listing may have been read before it and arrive later. So are
+// observations of an acquisition that was given up since: accepting one would leave the
+// lock with two holders.
 func (l *LeaderLock) Observe(value string, revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,8 +76,8 @@
 	}
 	l.occupied, l.foreignRevision = value != "", 0
 	if value == l.name && l.fence == 0 && l.leaseID != "" {
-		// A write whose outcome was unknown was carried out after all. Left
-		// alone, the seat would stay with a process that does not know of it.
+		// A write with an unknown outcome did succeed. If that were ignored, the lock
+		// would stay with a process that does not know that it holds it.
 		l.markAcquired(revision)
 		return
 	}
@@ -82,17 +86,17 @@
 	}
 }
 
-// markLost notes that the seat is held no more; the caller holds mu.
+// markLost records that the lock is no longer held; the caller holds mu.
 func (l *LeaderLock) markLost() {
 	l.lostFence, l.fence = l.fence, 0
 	l.lostAt = clock.Now()
-	l.log.WithField("event", "seat_lost").Warn("another process may give the orders now")
+	l.log.WithField("event", "seat_lost").Warn("leader lock lost; another process may send load orders now")
 }
 
-// ObserveForeign notes that the store has an entry at the key, of a revision, that no
-// holder wrote. It hangs on no lease, so that waiting for its end nobody would give
-// orders any more. After a pause, in which a holder whose entry it replaced has
-// learnt that or has lost its lease, the seat is taken over it.
+// ObserveForeign records that the key has an entry, at a revision, that was not written
+// by a controller. Such an entry has no lease and never expires, so waiting for its end
+// would stop all orders. The lock is acquired over it after the backoff, by when a
+// holder whose entry it replaced has noticed that or has lost its lease.
 func (l *LeaderLock) ObserveForeign(revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +109,7 @@
 	}
 }
 
-// available reports whether the seat may be sought; the caller holds mu.
+// available reports whether the lock may be acquired; the caller holds mu.
 func (l *LeaderLock) available() bool {
 	if l.occupied && (l.foreignRevision == 0 || l.foreignAt.Since() < l.backoff) {
 		return false
@@ -113,7 +117,8 @@
 	return !l.acquiring && (l.lostAt == 0 || l.lostAt.Since() >= l.backoff)
 }
 
-// TryAcquire tries to take the seat if it is free.
+// TryAcquire tries to acquire the lock if it is available, and reports whether this
+// process holds it.
 func (l *LeaderLock) TryAcquire(ctx context.Context) bool {
 	l.mu.Lock()
 	leaseID := l.session.ID()
@@ -139,14 +144,14 @@
 	return true
 }
 
-// markAcquired notes that the seat is held under a fence; the caller holds mu.
+// markAcquired records that the lock is held with a fencing token; the caller holds mu.
 func (l *LeaderLock) markAcquired(fence int64) {
 	l.occupied, l.fence, l.foreignRevision = true, fence, 0
-	l.log.WithFields(logrus.Fields{"event": "seat_taken", "fence": fence}).Info("this process gives the orders now")
+	l.log.WithFields(logrus.Fields{"event": "seat_taken", "fence": fence}).Info("leader lock acquired; this process sends load orders now")
 }
 
-// Release gives the seat to whoever seeks it, while this process's lease goes on.
-// One that is being taken just now stays until the lease ends.
+// Release gives up the lock while the lease of this process continues. An acquisition
+// that is still in progress keeps the lock until the lease ends.
 func (l *LeaderLock) Release(ctx context.Context) error {
 	l.mu.Lock()
 	fence := l.fence
@@ -159,19 +164,20 @@
 	}
 	_, err := l.store.Delete(ctx, l.key, fence)
 	if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrNotFound) {
-		// It has passed to another process already.
+		// Another process holds the lock already.
 		return nil
 	}
 	return err
 }
 
-// write writes the key over the revision given; 0 is none.
+// write writes the key if its revision is overRevision; 0 requires that the key does
+// not exist.
 func (l *LeaderLock) write(ctx context.Context, lease store.LeaseID, overRevision int64) (int64, error) {
 	fence, err := l.store.Put(ctx, l.key, []byte(l.name), overRevision, lease)
 	if err == nil || errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrUnavailable) {
 		return fence, err
 	}
-	// The answer was lost; the key tells whether the call was carried out.
+	// The response was lost; reading the key shows whether the write succeeded.
 	entry, readErr := l.store.Get(ctx, l.key)
 	if readErr == nil && string(entry.Value) == l.name {
 		return entry.Revision, nil
--- a/rollout/office_test.go
+++ b/rollout/office_test.go
@@ -13,14 +13,14 @@
 	"acaciakeel/store"
 )
 
-// memoryStore is a store with one key, which answers as told.
+// memoryStore is a store with one key.
 type memoryStore struct {
 	store.Store
 	value    string
 	revision int64
-	// dropResponse loses the answer of the next write after its effect.
+	// dropResponse makes the next write succeed and its response get lost.
 	dropResponse bool
-	// failReads fails reads.
+	// failReads makes reads fail.
 	failReads bool
 	writes    int
 }
@@ -61,7 +61,7 @@
 	return log
 }
 
-// newTestLock returns a seat under a lease that is held.
+// newTestLock returns a lock whose session has a lease.
 func newTestLock(t *testing.T, m *memoryStore, name string) (*LeaderLock, *lease.Session) {
 	t.Helper()
 	session := lease.NewSession(m, time.Minute, time.Second)
@@ -73,22 +73,21 @@
 	return NewLeaderLock(m, session, "seat", name, time.Minute, discardLogger()), session
 }
 
-// The seat's write is carried out and its answer lost. Were the process to
-// take it for failed, nobody would give orders until the lease lapses.
+// The write of the lock succeeds and its response is lost. If it counted as failed, no
+// process would send orders until the lease expires.
 func TestLockAcquiredDespiteLostResponse(t *testing.T) {
 	m := &memoryStore{dropResponse: true}
 	seat, _ := newTestLock(t, m, "a")
 	if !seat.TryAcquire(t.Context()) {
-		t.Fatal("the seat was written and not taken")
+		t.Fatal("the lock was written but not acquired")
 	}
 	if fence, ok := seat.Held(); !ok || fence != 1 {
-		t.Errorf("held %v under fence %d, want 1", ok, fence)
+		t.Errorf("held = %v with fence %d, want fence 1", ok, fence)
 	}
 }
 
-// A process that stops serves its last requests for seconds. Operators saw a
-// rollout stand still for eight: the stopping process had given its lease up,
-// taken a new one and the seat with it, and was then killed holding both.
+// A stopping process closed its lease, was granted a new one, acquired the lock again
+// and was then killed; the rollout stopped for eight seconds.
 func TestLockNotReacquiredAfterLeaseCloses(t *testing.T) {
 	m := &memoryStore{}
 	seat, session := newTestLock(t, m, "a")
@@ -98,15 +97,15 @@
 	}
 	seat.Observe("", m.revision+1)
 	if _, ok := seat.Held(); ok {
-		t.Error("the seat is held without a lease")
+		t.Error("the lock is held without a lease")
 	}
 	if seat.TryAcquire(t.Context()) {
-		t.Error("a process that ended its lease took the seat again")
+		t.Error("a process that closed its lease acquired the lock again")
 	}
 }
 
-// Two processes that take the seat by turns may both have orders on the way, so
-// one that lost it leaves it alone for a while.
+// Two processes that alternate as holders may both have orders in flight, so a process
+// that lost the lock must not acquire it again at once.
 func TestLockBackoffAfterLoss(t *testing.T) {
 	m := &memoryStore{}
 	seat, _ := newTestLock(t, m, "a")
@@ -114,63 +113,61 @@
 	m.value = ""
 	seat.Observe("", m.revision+1)
 	if seat.TryAcquire(t.Context()) || m.writes != 1 {
-		t.Errorf("the seat was sought again at once, with %d writes", m.writes)
+		t.Errorf("the lock was tried again without backoff; %d writes, want 1", m.writes)
 	}
 }
 
-// A listing is read, the seat is taken, and then the listing arrives, without
-// the seat. Taken for a loss, the seat stayed with a process that gave no
-// orders and kept its lease, and no runner changed its weights any more.
+// A listing read before the acquisition arrives after it, without the key. Taken as a
+// loss, it left the lock with a process that kept its lease and sent no orders.
 func TestLockIgnoresOlderListing(t *testing.T) {
 	m := &memoryStore{revision: 10}
 	seat, _ := newTestLock(t, m, "a")
 	seat.TryAcquire(t.Context())
 	seat.Observe("", 10)
 	if _, ok := seat.Held(); !ok {
-		t.Error("an older listing took the seat away")
+		t.Error("an older listing ended the hold on the lock")
 	}
 }
 
-// The answer of the seat's write is lost, and so is that of reading it back. The
-// watch tells later that it was carried out; the process must then know.
+// The responses to both the write and the read that checks it are lost. The process
+// must take the lock when the watch reports its entry.
 func TestLockAcquiredThroughWatch(t *testing.T) {
 	m := &memoryStore{dropResponse: true, failReads: true}
 	seat, _ := newTestLock(t, m, "a")
 	if seat.TryAcquire(t.Context()) {
-		t.Fatal("took a seat of which nothing was known")
+		t.Fatal("acquired a lock whose state is unknown")
 	}
 	seat.Observe("a", m.revision)
 	if fence, ok := seat.Held(); !ok || fence != m.revision {
-		t.Errorf("held %v under fence %d, want %d", ok, fence, m.revision)
+		t.Errorf("held = %v with fence %d, want fence %d", ok, fence, m.revision)
 	}
 }
 
-// Another writer puts bytes of its own where the holder's name stands. They hang on
-// no lease and never lapse: nobody gave orders any more, and runners stayed on old
-// weights. The holder must stop at once; after the pause the seat is taken over them.
+// Another writer replaces the entry with bytes that never expire, so nobody could send
+// orders. The holder must stop; after the backoff the lock is acquired over it.
 func TestLockReplacesForeignEntry(t *testing.T) {
 	m := &memoryStore{value: "bytes", revision: 5}
 	seat, _ := newTestLock(t, m, "a")
 	seat.ObserveForeign(5)
 	if seat.TryAcquire(t.Context()) || m.writes != 0 {
-		t.Errorf("sought at once with %d writes, while a holder before may not know yet", m.writes)
+		t.Errorf("tried without backoff (%d writes) while an earlier holder may not have noticed yet", m.writes)
 	}
 	seat.backoff = 0
 	if !seat.TryAcquire(t.Context()) {
-		t.Fatal("the seat stays with nobody")
+		t.Fatal("the lock was not acquired over the foreign entry")
 	}
 	if fence, ok := seat.Held(); !ok || fence != 6 {
-		t.Errorf("held %v under fence %d, want one above the foreign entry's", ok, fence)
+		t.Errorf("held = %v with fence %d, want 6, one above the foreign entry's", ok, fence)
 	}
 	m.value, m.revision = "bytes again", 7
 	seat.ObserveForeign(7)
 	if _, ok := seat.Held(); ok {
-		t.Error("the seat is held though its entry is another's")
+		t.Error("the lock is held although its entry is foreign")
 	}
 	seat.ObserveForeign(4)
 	seat.Observe("b", 8)
 	if seat.TryAcquire(t.Context()) {
-		t.Error("taken from a process that holds it")
+		t.Error("acquired a lock that another process holds")
 	}
 }
 
@@ -183,8 +180,8 @@
 	return m.revision, nil
 }
 
-// A process that stops keeps its lease while it serves its last requests. The seat
-// passes on at once all the same: new weights named meanwhile would wait.
+// A stopping process keeps its lease while it completes its last requests. It must
+// release the lock before that, or newly released weights would have to wait.
 func TestLockReleaseBeforeLeaseEnds(t *testing.T) {
 	m := &memoryStore{}
 	seat, _ := newTestLock(t, m, "a")
@@ -193,22 +190,22 @@
 		t.Fatal(err)
 	}
 	if _, held := seat.Held(); held || m.value != "" {
-		t.Errorf("held %v, and the seat names %q", held, m.value)
+		t.Errorf("held = %v and the key has %q, want a released lock", held, m.value)
 	}
 	seat.Observe("a", m.revision-1)
 	if _, held := seat.Held(); held {
-		t.Error("late news of the taking brought a released seat back")
+		t.Error("a late observation of the acquisition revived a released lock")
 	}
 }
 
-// The seat has passed to another process by the time that one gives it up. It
-// stays with the other one.
+// The lock has passed to another process before the release, which must not delete that
+// holder's entry.
 func TestReleaseKeepsLockOfOtherHolder(t *testing.T) {
 	m := &memoryStore{}
 	seat, _ := newTestLock(t, m, "a")
 	seat.TryAcquire(t.Context())
 	m.value, m.revision = "b", m.revision+1
 	if err := seat.Release(t.Context()); err != nil || m.value != "b" {
-		t.Errorf("%v, and the seat names %q", err, m.value)
+		t.Errorf("release returned %v and the key has %q, want b", err, m.value)
 	}
 }
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -1,6 +1,6 @@
-// Package rollout brings the runners of a model to the weights that the
-// operators name: plan.go decides, purely, which runners get an order next;
-// holder.go is the one process at a time that gives them.
+// Package rollout brings the runners of a model to the weights that the operators
+// release. Plan decides, without side effects, which runners get a load order next; a
+// Controller in one process at a time, the holder of the LeaderLock, sends the orders.
 package rollout
 
 import (
@@ -11,64 +11,67 @@
 	"acaciakeel/fleet"
 )
 
-// Input is what the plan rests on.
+// Input is the state on which a plan is based.
 type Input struct {
 	Model   string
 	Desired int64
 	Runners []fleet.Runner
-	// InProgress is for how long the orders that have not ended have been given, by id.
+	// InProgress is how long ago each order that has not ended was planned, by runner
+	// ID.
 	InProgress map[string]time.Duration
-	// Inflight is how many requests each runner works on, by id, and Long those
-	// of them that take seconds.
+	// Inflight is the number of requests at each runner, and LongRuns the number of
+	// those that take seconds, by runner ID.
 	Inflight map[string]int
 	LongRuns map[string]int
-	// StaleFor is for how long each runner has been behind, by id.
+	// StaleFor is how long newer weights than the runner's have been released, by
+	// runner ID.
 	StaleFor map[string]time.Duration
-	// MaxConcurrent is the most orders under way, unless the time that is left asks for more.
+	// MaxConcurrent is the maximum number of orders in progress; more are allowed if
+	// deadlines would be missed otherwise.
 	MaxConcurrent int
-	// MaxStaleness is for how long after newer weights were named a runner gets requests, 0
-	// where nothing bounds it, and Each what an order takes.
+	// MaxStaleness is how long after the release of newer weights a runner still gets
+	// requests; 0 means no bound. OrderDuration is the expected duration of an order.
 	MaxStaleness  time.Duration
 	OrderDuration time.Duration
 }
 
-// longRunGrace is how long runners with long runs are left to end them before
-// their order: no new ones go there meanwhile. The runs that remain then end
-// well within the bound on the whole rollout.
+// longRunGrace is how long runners with long runs may finish them before their order;
+// they get no new long runs in that time. The runs that remain then end well within the
+// bound on the whole rollout.
 const longRunGrace = 3 * time.Second
 
-// WaitReason is why a runner that is behind gets no order at a look.
+// WaitReason is why a stale runner gets no order at present.
 type WaitReason string
 
-// The reasons; None is that of a runner that gets its order now.
+// The reasons to wait. None means that the runner gets its order now.
 const (
 	None WaitReason = ""
-	// Draining: it ends soon.
+	// Draining: the runner will stop soon.
 	Draining WaitReason = "leaving"
-	// OrderInProgress: its order has not ended.
+	// OrderInProgress: the runner's order has not ended.
 	OrderInProgress WaitReason = "underway"
-	// LongRuns: it has long runs that are left to end for a while.
+	// LongRuns: the runner has long runs and is given time to finish them.
 	LongRuns WaitReason = "long_runs"
-	// ConcurrencyLimit: as many orders are under way as may be.
+	// ConcurrencyLimit: the maximum number of orders is in progress.
 	ConcurrencyLimit WaitReason = "no_place"
 )
 
-// WaitReasons are all reasons for which a runner that is behind waits.
+// WaitReasons lists the reasons for which a stale runner waits.
 var WaitReasons = []WaitReason{Draining, OrderInProgress, LongRuns, ConcurrencyLimit}
 
-// Decision is what becomes of a runner that is behind.
+// Decision is the plan for one stale runner.
 type Decision struct {
 	Runner     fleet.Runner
 	WaitReason WaitReason
-	// Urgent is set where its time is short.
+	// Urgent is set if the runner's deadline would be missed at the usual concurrency.
 	Urgent bool
 }
 
-// Plan returns what becomes of each runner that is behind. Those whose time is short
-// get their order first, by their time: passed over for idler ones at each naming, they
-// would come to their bound one after the other and stand idle until their turn. Of the
-// others those without long runs come first, as they are the soonest done, then those
-// with the oldest weights and the idlest.
+// Plan returns a decision for each stale runner. Urgent runners get their order first,
+// by remaining time: if idler ones went first after every release, the urgent ones
+// would reach their bound one after the other and stay idle until their turn. Of the
+// others, runners without long runs come first because they finish soonest, then those
+// with the oldest weights, then those with the fewest requests.
 func Plan(in Input) []Decision {
 	var decisions []Decision
 	stale := in.stale()
@@ -103,7 +106,7 @@
 	return out
 }
 
-// waitReason returns why a runner that is behind is not due.
+// waitReason returns why a stale runner is not due.
 func (d deadlines) waitReason(r fleet.Runner) WaitReason {
 	_, underway := d.InProgress[r.ID]
 	switch {
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -30,7 +30,7 @@
 	return out
 }
 
-// staleFor has n runners be behind for as long.
+// staleFor returns the same staleness for n runners.
 func staleFor(n int, d time.Duration) map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for i := range n {
@@ -39,25 +39,25 @@
 	return out
 }
 
-// Runners whose weights were replaced first run out of time first; runners with
-// long runs would stand nearly idle until those end, so they wait.
+// Runners with the oldest weights reach their bound first; runners with long runs would
+// be nearly idle until those end, so they wait.
 func TestPlan(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		in   Input
 		want string
 	}{
-		{"the oldest first", Input{Desired: 4, Runners: runnersAt(3, 1, 2), MaxConcurrent: 2}, "[r1 r2]"},
-		{"the idlest of equals", Input{Desired: 2, Runners: runnersAt(1, 1), Inflight: map[string]int{"r0": 3}, MaxConcurrent: 1}, "[r1]"},
-		{"none beyond the room", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, MaxConcurrent: 1}, "[]"},
-		{"long runs wait", Input{Desired: 2, Runners: runnersAt(1, 1), LongRuns: map[string]int{"r0": 1}, MaxConcurrent: 2}, "[r1]"},
-		{"long runs wait for so long only", Input{Desired: 2, Runners: runnersAt(1), LongRuns: map[string]int{"r0": 1}, StaleFor: map[string]time.Duration{"r0": longRunGrace + 1}, MaxConcurrent: 1}, "[r0]"},
-		{"who is short of time before the idler", Input{Desired: 3, Runners: runnersAt(2, 1), LongRuns: map[string]int{"r1": 1}, StaleFor: map[string]time.Duration{"r0": time.Second, "r1": 8 * time.Second}, MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: 4 * time.Second}, "[r1]"},
-		{"the idler while time is left", Input{Desired: 3, Runners: runnersAt(2, 1), LongRuns: map[string]int{"r1": 1}, StaleFor: map[string]time.Duration{"r0": time.Second, "r1": 4 * time.Second}, MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: 2 * time.Second}, "[r0]"},
-		{"more at once where few don't end in time", Input{Desired: 2, Runners: runnersAt(1, 1, 1, 1, 1, 1, 1, 1), StaleFor: staleFor(8, 2*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: 3 * time.Second}, "[r0 r1 r2 r3]"},
-		{"who gets nothing any more and has some waiting, at once", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, Inflight: map[string]int{"r1": 2}, StaleFor: staleFor(2, 11*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: time.Second}, "[r1]"},
-		{"who gets nothing any more and is idle, in its turn", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, StaleFor: staleFor(2, 11*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: time.Second}, "[]"},
-		{"those that leave are left alone", Input{Desired: 2, Runners: []fleet.Runner{{ID: "r0", Draining: true}}, MaxConcurrent: 1}, "[]"},
+		{"oldest weights first", Input{Desired: 4, Runners: runnersAt(3, 1, 2), MaxConcurrent: 2}, "[r1 r2]"},
+		{"idlest of equals", Input{Desired: 2, Runners: runnersAt(1, 1), Inflight: map[string]int{"r0": 3}, MaxConcurrent: 1}, "[r1]"},
+		{"none beyond the concurrency limit", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, MaxConcurrent: 1}, "[]"},
+		{"runners with long runs wait", Input{Desired: 2, Runners: runnersAt(1, 1), LongRuns: map[string]int{"r0": 1}, MaxConcurrent: 2}, "[r1]"},
+		{"runners with long runs wait no longer than the grace period", Input{Desired: 2, Runners: runnersAt(1), LongRuns: map[string]int{"r0": 1}, StaleFor: map[string]time.Duration{"r0": longRunGrace + 1}, MaxConcurrent: 1}, "[r0]"},
+		{"urgent before idler", Input{Desired: 3, Runners: runnersAt(2, 1), LongRuns: map[string]int{"r1": 1}, StaleFor: map[string]time.Duration{"r0": time.Second, "r1": 8 * time.Second}, MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: 4 * time.Second}, "[r1]"},
+		{"idler first while none is urgent", Input{Desired: 3, Runners: runnersAt(2, 1), LongRuns: map[string]int{"r1": 1}, StaleFor: map[string]time.Duration{"r0": time.Second, "r1": 4 * time.Second}, MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: 2 * time.Second}, "[r0]"},
+		{"higher concurrency if deadlines would be missed", Input{Desired: 2, Runners: runnersAt(1, 1, 1, 1, 1, 1, 1, 1), StaleFor: staleFor(8, 2*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: 3 * time.Second}, "[r0 r1 r2 r3]"},
+		{"past its bound with requests waiting: at once", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, Inflight: map[string]int{"r1": 2}, StaleFor: staleFor(2, 11*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: time.Second}, "[r1]"},
+		{"past its bound and idle: in turn", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, StaleFor: staleFor(2, 11*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: time.Second}, "[]"},
+		{"draining runners get no order", Input{Desired: 2, Runners: []fleet.Runner{{ID: "r0", Draining: true}}, MaxConcurrent: 1}, "[]"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.in.Model = "m"
@@ -66,15 +66,14 @@
 				ids = append(ids, r.ID)
 			}
 			if got := fmt.Sprint(ids); got != test.want {
-				t.Errorf("ordered %s, want %s", got, test.want)
+				t.Errorf("runners to order: %s, want %s", got, test.want)
 			}
 		})
 	}
 }
 
-// Simulated to its end, a rollout brings every runner to the newest weights,
-// also where more are named in the middle, with no runner ordered twice for one
-// version.
+// Whatever the versions, and even if newer weights are released halfway, every runner
+// must reach the newest weights, with at most one order per version.
 func TestRolloutCompletes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runners := runnersAt(rapid.SliceOfN(rapid.Int64Range(1, 3), 1, 30).Draw(t, "versions")...)
@@ -99,7 +98,7 @@
 		}
 		for _, r := range runners {
 			if r.Weights["m"] != in.Desired {
-				t.Errorf("%s ended with %d", r.ID, r.Weights["m"])
+				t.Errorf("%s ended with weights %d, want the newest", r.ID, r.Weights["m"])
 			}
 		}
 	})
@@ -114,22 +113,21 @@
 	return nil
 }
 
-// Weights are named every three seconds, and each order waits for runs for as long as it
-// takes. Passed over for idler ones at each naming, a quarter of the runners had their
-// first order when nothing could be sent to them any more. Whatever the sizes, where all
-// orders fit into the time that half of the runners may be away, none comes to its bound.
+// With frequent releases, a quarter of the runners reached their bound before their
+// first order because idler runners went first after each release.
 func TestFrequentReleasesStarveNoRunner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(4, 60).Draw(t, "runners")
-		each := time.Duration(rapid.IntRange(10, 60).Draw(t, "order in tenths of a second")) * 100 * time.Millisecond
-		names := time.Duration(rapid.IntRange(10, 60).Draw(t, "pause between names in tenths of a second")) * 100 * time.Millisecond
-		// Half of the runners at a time, in rounds that end with the one that was begun.
-		bound := 4*each + time.Duration(rapid.IntRange(0, 100).Draw(t, "more in tenths of a second"))*100*time.Millisecond
+		each := time.Duration(rapid.IntRange(10, 60).Draw(t, "order duration in tenths of a second")) * 100 * time.Millisecond
+		names := time.Duration(rapid.IntRange(10, 60).Draw(t, "release interval in tenths of a second")) * 100 * time.Millisecond
+		// Half of the runners at a time need two rounds, and earlier rounds may have to end first.
+		bound := 4*each + time.Duration(rapid.IntRange(0, 100).Draw(t, "extra time in tenths of a second"))*100*time.Millisecond
 		simulateReleases(t, n, each, names, bound, rapid.SliceOfN(rapid.IntRange(0, 3), n, n).Draw(t, "long runs"))
 	})
 }
 
-// simulateReleases plays a minute of names in series and fails where a runner comes to its bound.
+// simulateReleases simulates a minute of releases and fails if a runner reaches its
+// bound without an order.
 func simulateReleases(t *rapid.T, n int, orderDuration, interval, maxStaleness time.Duration, longRuns []int) {
 	const step = 100 * time.Millisecond
 	runners := runnersAt(make([]int64, n)...)
@@ -155,7 +153,7 @@
 				in.StaleFor[r.ID] = now - released[at]
 			}
 			if _, ok := ends[r.ID]; !ok && in.StaleFor[r.ID] > maxStaleness {
-				t.Fatalf("%s has weights %d at %v, replaced for %v, and no order", r.ID, r.Weights["m"], now, in.StaleFor[r.ID])
+				t.Fatalf("%s has weights %d at %v, stale for %v, and no order", r.ID, r.Weights["m"], now, in.StaleFor[r.ID])
 			}
 		}
 		for _, r := range runnersToOrder(in) {
--- a/rollout/waiting.go
+++ b/rollout/waiting.go
@@ -10,32 +10,32 @@
 	"acaciakeel/telemetry"
 )
 
-// Metrics are the gauges of a rollout, as the process that gives the orders sees it.
+// Metrics holds the rollout gauges as seen by the leader.
 type Metrics struct {
 	waiting *prometheus.GaugeVec
 }
 
-// NewMetrics registers the gauges.
 func NewMetrics(r *prometheus.Registry) *Metrics {
 	return &Metrics{waiting: telemetry.NewGauge(r, "keel_node_orders_waiting", "Runners on older weights that got no order at the last look, by reason.", "reason")}
 }
 
-// logAfter is for how long a runner must be behind before the log says why: a
-// rollout of idle runners ends sooner.
+// logAfter is how long a runner must be stale before the reason is logged; a rollout of
+// idle runners completes sooner.
 const logAfter = 3 * time.Second
 
-// waitReporter tells why runners that are behind get no order: in the gauges after each
-// look, and in the log once a change of a runner's reason. Only the goroutine that
-// looks uses it.
+// waitReporter reports why stale runners get no order: in the gauges after each
+// reconciliation, and in the log whenever a runner's reason changes. It is used by the
+// reconciling goroutine only.
 type waitReporter struct {
 	metrics *Metrics
 	log     logrus.FieldLogger
 	counts  map[WaitReason]int
-	// logged are the reasons that the log has, and current those of the look under way.
+	// logged holds the reasons that were logged, and current those of the
+	// reconciliation in progress.
 	logged, current map[staleRunner]WaitReason
 }
 
-// staleRunner is a life of a runner that is behind in a model's weights.
+// staleRunner identifies an incarnation of a runner with stale weights of a model.
 type staleRunner struct {
 	life  fleet.Life
 	model string
@@ -45,12 +45,12 @@
 	return waitReporter{metrics: m, log: log, logged: map[staleRunner]WaitReason{}}
 }
 
-// beginPass begins a look.
+// beginPass starts the report of a reconciliation.
 func (w *waitReporter) beginPass() {
 	w.counts, w.current = map[WaitReason]int{}, map[staleRunner]WaitReason{}
 }
 
-// record takes what becomes of the runners of a model.
+// record adds the decisions for the runners of one model.
 func (w *waitReporter) record(in Input, decisions []Decision) {
 	for _, t := range decisions {
 		w.counts[t.WaitReason]++
@@ -68,17 +68,17 @@
 			"weights": t.Runner.Weights[in.Model], "newest": in.Desired, "behind_ms": staleFor.Milliseconds(),
 			"inflight": in.Inflight[t.Runner.ID], "long": in.LongRuns[t.Runner.ID],
 			"underway_ms": in.InProgress[t.Runner.ID].Milliseconds(), "underway": len(in.InProgress), "at_once": in.MaxConcurrent,
-		}).Info("a runner on older weights gets no order yet")
+		}).Info("runner on older weights gets no load order yet")
 	}
 }
 
-// endPass ends a look.
+// endPass completes the report of a reconciliation.
 func (w *waitReporter) endPass() {
 	w.logged = w.current
 	w.updateGauges()
 }
 
-// reset notes that this process gives no orders.
+// reset clears the report when this process is not the leader.
 func (w *waitReporter) reset() {
 	if len(w.counts) == 0 {
 		return
