--- a/rollout/holder_test.go
+++ b/rollout/holder_test.go
@@ -93,7 +93,7 @@
 		{"a long run beside one that is not resumable", []fleet.Stay{draft, {}}, false},
 		{"a long run that is not resumable", []fleet.Stay{{Long: true}}, false},
 		{"short runs", []fleet.Stay{{Resumable: true}}, false},
-		{"no runs", nil, false},
+		{"nothing", nil, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
--- a/rollout/life_test.go
+++ b/rollout/life_test.go
@@ -66,9 +66,8 @@
 	return NewController("n", Config{Leadership: leaderFunc(onHeld), Client: o, Fleet: f, Services: modelOfLM, Notify: func() {}}, discardLogger())
 }
 
-// A runner restarts after its report and before the order is sent. The new incarnation
-// counts orders from zero, so the order would be refused or, at worst, carried out
-// after newer ones.
+// A runner restarts between its report and the order. With the order count of the
+// earlier incarnation, the order could be refused, or carried out after newer ones.
 func TestNoOrderAfterRunnerRestarts(t *testing.T) {
 	f, r := fleetWithRunner()
 	o := &restartingRunner{reports: []fleet.Report{reportOf(10, 3)}, result: fleet.OrderAccepted}
@@ -78,8 +77,8 @@
 	}
 }
 
-// A runner restarts between its report and the order. With the order count of the
-// earlier incarnation, the order could be carried out after newer ones.
+// A report may come from another incarnation than the listed one: a later one replaces
+// it, an earlier one must change nothing and lead to no order.
 func TestReportFromAnotherIncarnation(t *testing.T) {
 	f, r := fleetWithRunner()
 	o := &restartingRunner{reports: []fleet.Report{reportOf(20, 0)}, result: fleet.OrderHolds}
@@ -100,8 +99,8 @@
 	}
 }
 
-// A report may come from another incarnation than the listed one: a later one replaces
-// it, an earlier one must change nothing and lead to no order.
+// A runner restarts while it carries out an order and returns with its old weights. The
+// order must neither block a new one nor be taken as completed.
 func TestOrderEndsWhenRunnerRestarts(t *testing.T) {
 	f, r := fleetWithRunner()
 	f.Name("m", 2, time.Now(), false)
@@ -133,12 +132,12 @@
 		}}
 		NewController("n", Config{Leadership: alwaysLeader{}, Client: o, Fleet: f, Notify: func() {}}, discardLogger()).updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
 		if now := f.Runners("lm"); len(now) != 1 || now[0].Weights["m"] != 1 {
-			t.Errorf("result %q for an earlier incarnation changed the runners to %+v", result, now)
+			t.Errorf("result %s for an earlier incarnation changed the runners to %+v", result, now)
 		}
 	}
 }
 
-// slowClient calls before ahead of each response to an order.
+// slowClient calls the function before it responds to an order.
 type slowClient struct {
 	restartingRunner
 	before func()
