--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -141,9 +141,9 @@
 		in := c.planInput(model, desired, runners)
 		decisions := Plan(in)
 		c.waits.record(in, decisions)
-		for _, t := range decisions {
-			if t.WaitReason == None {
-				c.startOrder(ctx, t, model, desired)
+		for _, decision := range decisions {
+			if decision.WaitReason == None {
+				c.startOrder(ctx, decision, model, desired)
 			}
 		}
 	}
@@ -169,9 +169,9 @@
 		}
 	}
 	if len(runners) > 0 {
-		known := c.fleet.Loads(runners[0].Service)
-		in.MaxConcurrent = known.MaxConcurrent(len(runners))
-		in.MaxStaleness, in.OrderDuration = c.maxStaleness, cmp.Or(c.orderDuration, known.OrderDuration())
+		loads := c.fleet.Loads(runners[0].Service)
+		in.MaxConcurrent = loads.MaxConcurrent(len(runners))
+		in.MaxStaleness, in.OrderDuration = c.maxStaleness, cmp.Or(c.orderDuration, loads.OrderDuration())
 	}
 	for _, r := range runners {
 		load := c.fleet.Inflight(r.Life())
@@ -181,13 +181,13 @@
 	return in
 }
 
-func (c *Controller) startOrder(ctx context.Context, t Decision, model string, desired int64) {
-	r := t.Runner
+func (c *Controller) startOrder(ctx context.Context, decision Decision, model string, desired int64) {
+	r := decision.Runner
 	c.mu.Lock()
 	c.inProgress[r.ID] = activeOrder{life: r.Life(), since: time.Now()}
 	c.mu.Unlock()
 	go func() {
-		c.updateRunner(ctx, t, model, desired)
+		c.updateRunner(ctx, decision, model, desired)
 		c.mu.Lock()
 		if c.inProgress[r.ID].life == r.Life() {
 			delete(c.inProgress, r.ID)
@@ -212,9 +212,9 @@
 
 // updateRunner brings one runner to the desired weights. If that fails, it returns, and
 // the next reconciliation plans again.
-func (c *Controller) updateRunner(ctx context.Context, t Decision, model string, desired int64) {
-	r, start := t.Runner, time.Now()
-	truncate := c.clear(ctx, t)
+func (c *Controller) updateRunner(ctx context.Context, decision Decision, model string, desired int64) {
+	r, start := decision.Runner, time.Now()
+	truncate := c.clear(ctx, decision)
 	drainTime, remaining := time.Since(start), c.fleet.Inflight(r.Life())
 	report, err := c.client.Report(ctx, r)
 	if errors.Is(err, fleet.ErrOtherRunner) {
@@ -289,9 +289,9 @@
 // are left, and reports whether these may be truncated. A truncated run is resumed on
 // another runner after its last event. If they are left to end, the last few long runs
 // keep a runner of 40 or 60 slots out of service for four to six seconds.
-func (c *Controller) clear(ctx context.Context, t Decision) bool {
-	r, checks := t.Runner, drainChecks
-	if t.Urgent {
+func (c *Controller) clear(ctx context.Context, decision Decision) bool {
+	r, checks := decision.Runner, drainChecks
+	if decision.Urgent {
 		checks = urgentDrainChecks
 	}
 	if c.fleet.Inflight(r.Life()).Long == 0 || c.truncationDisabled.Load() || c.fleet.Off(policy.Truncation) {
--- a/rollout/holder_test.go
+++ b/rollout/holder_test.go
@@ -15,20 +15,20 @@
 	orders []fleet.Order
 }
 
-func (o *recordingClient) Report(context.Context, fleet.Runner) (fleet.Report, error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (c *recordingClient) Report(context.Context, fleet.Runner) (fleet.Report, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	version := int64(1)
-	if len(o.orders) > 0 {
-		version = o.orders[len(o.orders)-1].Weights
+	if len(c.orders) > 0 {
+		version = c.orders[len(c.orders)-1].Weights
 	}
 	return fleet.Report{Weights: map[string]int64{"m": version}}, nil
 }
 
-func (o *recordingClient) Order(_ context.Context, order fleet.Order) (fleet.OrderResult, error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.orders = append(o.orders, order)
+func (c *recordingClient) Order(_ context.Context, order fleet.Order) (fleet.OrderResult, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.orders = append(c.orders, order)
 	return fleet.OrderAccepted, nil
 }
 
@@ -45,7 +45,7 @@
 // blockedClient blocks each order until its context ends.
 type blockedClient struct{ recordingClient }
 
-func (h *blockedClient) Order(ctx context.Context, _ fleet.Order) (fleet.OrderResult, error) {
+func (c *blockedClient) Order(ctx context.Context, _ fleet.Order) (fleet.OrderResult, error) {
 	<-ctx.Done()
 	return fleet.OrderLost, ctx.Err()
 }
@@ -56,9 +56,9 @@
 	f := fleet.New("z")
 	r := fleet.Runner{ID: "r", Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
 	f.Put(r)
-	h := NewController("n", Config{Leadership: expiringLeader{}, Client: &blockedClient{}, Fleet: f, Notify: func() {}}, discardLogger())
+	c := NewController("n", Config{Leadership: expiringLeader{}, Client: &blockedClient{}, Fleet: f, Notify: func() {}}, discardLogger())
 	// If the order is not canceled, the test fails by its own time-out.
-	h.updateRunner(context.Background(), Decision{Runner: r}, "m", 2)
+	c.updateRunner(context.Background(), Decision{Runner: r}, "m", 2)
 }
 
 // updateOne updates one runner with the given requests in progress to weights 2 and
@@ -71,13 +71,13 @@
 	for _, s := range stays {
 		f.Begin(r.Life(), s, time.Now())
 	}
-	o := &recordingClient{}
-	h := NewController("n", Config{Leadership: alwaysLeader{}, Client: o, Fleet: f, Notify: func() {}}, discardLogger())
-	h.updateRunner(context.Background(), Decision{Runner: r}, "m", 2)
-	if len(o.orders) != 1 {
-		t.Fatalf("got %d orders, want 1", len(o.orders))
+	client := &recordingClient{}
+	c := NewController("n", Config{Leadership: alwaysLeader{}, Client: client, Fleet: f, Notify: func() {}}, discardLogger())
+	c.updateRunner(context.Background(), Decision{Runner: r}, "m", 2)
+	if len(client.orders) != 1 {
+		t.Fatalf("got %d orders, want 1", len(client.orders))
 	}
-	return o.orders[0]
+	return client.orders[0]
 }
 
 // Truncating a run that cannot be resumed elsewhere loses its answer; leaving resumable
--- a/rollout/life_test.go
+++ b/rollout/life_test.go
@@ -62,18 +62,18 @@
 
 func modelOfLM() map[string][]string { return map[string][]string{"m": {"lm"}} }
 
-func testController(f *fleet.Fleet, o *restartingRunner, onHeld func()) *Controller {
-	return NewController("n", Config{Leadership: leaderFunc(onHeld), Client: o, Fleet: f, Services: modelOfLM, Notify: func() {}}, discardLogger())
+func testController(f *fleet.Fleet, client *restartingRunner, onHeld func()) *Controller {
+	return NewController("n", Config{Leadership: leaderFunc(onHeld), Client: client, Fleet: f, Services: modelOfLM, Notify: func() {}}, discardLogger())
 }
 
 // A runner restarts between its report and the order. With the order count of the
 // earlier incarnation, the order could be refused, or carried out after newer ones.
 func TestNoOrderAfterRunnerRestarts(t *testing.T) {
 	f, r := fleetWithRunner()
-	o := &restartingRunner{reports: []fleet.Report{reportOf(10, 3)}, result: fleet.OrderAccepted}
-	testController(f, o, func() { f.Hear(fleet.Life{ID: "r", Born: 20}) }).updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
-	if len(o.orders) != 0 {
-		t.Errorf("an order was sent with the order count %d of the earlier incarnation", o.orders[0].Orders)
+	client := &restartingRunner{reports: []fleet.Report{reportOf(10, 3)}, result: fleet.OrderAccepted}
+	testController(f, client, func() { f.Hear(fleet.Life{ID: "r", Born: 20}) }).updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
+	if len(client.orders) != 0 {
+		t.Errorf("an order was sent with the order count %d of the earlier incarnation", client.orders[0].Orders)
 	}
 }
 
@@ -81,21 +81,21 @@
 // it, an earlier one must change nothing and lead to no order.
 func TestReportFromAnotherIncarnation(t *testing.T) {
 	f, r := fleetWithRunner()
-	o := &restartingRunner{reports: []fleet.Report{reportOf(20, 0)}, result: fleet.OrderHolds}
-	h := testController(f, o, func() {})
-	h.updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
-	if len(o.orders) != 0 || !f.Holds(fleet.Life{ID: "r", Born: 20}) {
-		t.Fatalf("got %d orders before the new incarnation was planned for, want 0", len(o.orders))
+	client := &restartingRunner{reports: []fleet.Report{reportOf(20, 0)}, result: fleet.OrderHolds}
+	c := testController(f, client, func() {})
+	c.updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
+	if len(client.orders) != 0 || !f.Holds(fleet.Life{ID: "r", Born: 20}) {
+		t.Fatalf("got %d orders before the new incarnation was planned for, want 0", len(client.orders))
 	}
-	o.reports = []fleet.Report{reportOf(10, 7, 9)}
-	h.updateRunner(t.Context(), Decision{Runner: f.Runners("lm")[0]}, "m", 2)
-	if v := f.Runners("lm")[0].Weights["m"]; len(o.orders) != 0 || v != 1 {
-		t.Errorf("a report of an earlier incarnation led to %d orders and weights %d", len(o.orders), v)
+	client.reports = []fleet.Report{reportOf(10, 7, 9)}
+	c.updateRunner(t.Context(), Decision{Runner: f.Runners("lm")[0]}, "m", 2)
+	if v := f.Runners("lm")[0].Weights["m"]; len(client.orders) != 0 || v != 1 {
+		t.Errorf("a report of an earlier incarnation led to %d orders and weights %d", len(client.orders), v)
 	}
-	o.reports = []fleet.Report{reportOf(20, 0)}
-	h.updateRunner(t.Context(), Decision{Runner: f.Runners("lm")[0]}, "m", 2)
-	if len(o.orders) != 1 || o.orders[0].Orders != 0 || o.orders[0].Runner.Born != 20 {
-		t.Errorf("sent %+v, want one order to the new incarnation with order count 0", o.orders)
+	client.reports = []fleet.Report{reportOf(20, 0)}
+	c.updateRunner(t.Context(), Decision{Runner: f.Runners("lm")[0]}, "m", 2)
+	if len(client.orders) != 1 || client.orders[0].Orders != 0 || client.orders[0].Runner.Born != 20 {
+		t.Errorf("sent %+v, want one order to the new incarnation with order count 0", client.orders)
 	}
 }
 
@@ -104,11 +104,11 @@
 func TestOrderEndsWhenRunnerRestarts(t *testing.T) {
 	f, r := fleetWithRunner()
 	f.Name("m", 2, time.Now(), false)
-	o := &restartingRunner{reports: []fleet.Report{reportOf(10, 3), reportOf(20, 0)}, result: fleet.OrderAccepted}
-	h := testController(f, o, func() {})
+	client := &restartingRunner{reports: []fleet.Report{reportOf(10, 3), reportOf(20, 0)}, result: fleet.OrderAccepted}
+	c := testController(f, client, func() {})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	h.startOrder(ctx, Decision{Runner: r}, "m", 2)
+	c.startOrder(ctx, Decision{Runner: r}, "m", 2)
 	now := f.Runners("lm")
 	// The new start time is recorded just before the weights.
 	for end := time.Now().Add(10 * time.Second); (now[0].Born != 20 || now[0].Weights["m"] == 0) && time.Now().Before(end); now = f.Runners("lm") {
@@ -117,7 +117,7 @@
 	if v := now[0].Weights["m"]; v != 1 {
 		t.Fatalf("new incarnation has weights %d, want 1", v)
 	}
-	if due := runnersToOrder(h.planInput("m", 2, now)); len(due) != 1 || due[0].Born != 20 {
+	if due := runnersToOrder(c.planInput("m", 2, now)); len(due) != 1 || due[0].Born != 20 {
 		t.Errorf("runners to order: %+v, want the new incarnation", due)
 	}
 }
@@ -127,10 +127,10 @@
 func TestLateOrderResponseIsIgnored(t *testing.T) {
 	for _, result := range []fleet.OrderResult{fleet.OrderHolds, fleet.OrderMisdirected} {
 		f, r := fleetWithRunner()
-		o := &slowClient{restartingRunner: restartingRunner{reports: []fleet.Report{reportOf(10, 3)}, result: result}, before: func() {
+		client := &slowClient{restartingRunner: restartingRunner{reports: []fleet.Report{reportOf(10, 3)}, result: result}, before: func() {
 			f.Put(fleet.Runner{ID: "r", Born: 20, Service: "lm", Address: "r:1", Weights: map[string]int64{"m": 1}})
 		}}
-		NewController("n", Config{Leadership: alwaysLeader{}, Client: o, Fleet: f, Notify: func() {}}, discardLogger()).updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
+		NewController("n", Config{Leadership: alwaysLeader{}, Client: client, Fleet: f, Notify: func() {}}, discardLogger()).updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
 		if now := f.Runners("lm"); len(now) != 1 || now[0].Weights["m"] != 1 {
 			t.Errorf("result %s for an earlier incarnation changed the runners to %+v", result, now)
 		}
--- a/rollout/office.go
+++ b/rollout/office.go
@@ -172,8 +172,8 @@
 
 // write writes the key if its revision is overRevision; 0 requires that the key does
 // not exist.
-func (l *LeaderLock) write(ctx context.Context, lease store.LeaseID, overRevision int64) (int64, error) {
-	fence, err := l.store.Put(ctx, l.key, []byte(l.name), overRevision, lease)
+func (l *LeaderLock) write(ctx context.Context, leaseID store.LeaseID, overRevision int64) (int64, error) {
+	fence, err := l.store.Put(ctx, l.key, []byte(l.name), overRevision, leaseID)
 	if err == nil || errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrUnavailable) {
 		return fence, err
 	}
--- a/rollout/office_test.go
+++ b/rollout/office_test.go
@@ -77,11 +77,11 @@
 // process would send orders until the lease expires.
 func TestLockAcquiredDespiteLostResponse(t *testing.T) {
 	m := &memoryStore{dropResponse: true}
-	seat, _ := newTestLock(t, m, "a")
-	if !seat.TryAcquire(t.Context()) {
+	lock, _ := newTestLock(t, m, "a")
+	if !lock.TryAcquire(t.Context()) {
 		t.Fatal("the lock was written but not acquired")
 	}
-	if fence, ok := seat.Held(); !ok || fence != 1 {
+	if fence, ok := lock.Held(); !ok || fence != 1 {
 		t.Errorf("held = %v with fence %d, want fence 1", ok, fence)
 	}
 }
@@ -90,16 +90,16 @@
 // and was then killed; the rollout stopped for eight seconds.
 func TestLockNotReacquiredAfterLeaseCloses(t *testing.T) {
 	m := &memoryStore{}
-	seat, session := newTestLock(t, m, "a")
-	seat.TryAcquire(t.Context())
+	lock, session := newTestLock(t, m, "a")
+	lock.TryAcquire(t.Context())
 	if err := session.Close(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	seat.Observe("", m.revision+1)
-	if _, ok := seat.Held(); ok {
+	lock.Observe("", m.revision+1)
+	if _, ok := lock.Held(); ok {
 		t.Error("the lock is held without a lease")
 	}
-	if seat.TryAcquire(t.Context()) {
+	if lock.TryAcquire(t.Context()) {
 		t.Error("a process that closed its lease acquired the lock again")
 	}
 }
@@ -108,11 +108,11 @@
 // that lost the lock must not acquire it again at once.
 func TestLockBackoffAfterLoss(t *testing.T) {
 	m := &memoryStore{}
-	seat, _ := newTestLock(t, m, "a")
-	seat.TryAcquire(t.Context())
+	lock, _ := newTestLock(t, m, "a")
+	lock.TryAcquire(t.Context())
 	m.value = ""
-	seat.Observe("", m.revision+1)
-	if seat.TryAcquire(t.Context()) || m.writes != 1 {
+	lock.Observe("", m.revision+1)
+	if lock.TryAcquire(t.Context()) || m.writes != 1 {
 		t.Errorf("the lock was tried again without backoff; %d writes, want 1", m.writes)
 	}
 }
@@ -121,10 +121,10 @@
 // loss, it left the lock with a process that kept its lease and sent no orders.
 func TestLockIgnoresOlderListing(t *testing.T) {
 	m := &memoryStore{revision: 10}
-	seat, _ := newTestLock(t, m, "a")
-	seat.TryAcquire(t.Context())
-	seat.Observe("", 10)
-	if _, ok := seat.Held(); !ok {
+	lock, _ := newTestLock(t, m, "a")
+	lock.TryAcquire(t.Context())
+	lock.Observe("", 10)
+	if _, ok := lock.Held(); !ok {
 		t.Error("an older listing ended the hold on the lock")
 	}
 }
@@ -133,12 +133,12 @@
 // must take the lock when the watch reports its entry.
 func TestLockAcquiredThroughWatch(t *testing.T) {
 	m := &memoryStore{dropResponse: true, failReads: true}
-	seat, _ := newTestLock(t, m, "a")
-	if seat.TryAcquire(t.Context()) {
+	lock, _ := newTestLock(t, m, "a")
+	if lock.TryAcquire(t.Context()) {
 		t.Fatal("acquired a lock whose state is unknown")
 	}
-	seat.Observe("a", m.revision)
-	if fence, ok := seat.Held(); !ok || fence != m.revision {
+	lock.Observe("a", m.revision)
+	if fence, ok := lock.Held(); !ok || fence != m.revision {
 		t.Errorf("held = %v with fence %d, want fence %d", ok, fence, m.revision)
 	}
 }
@@ -147,26 +147,26 @@
 // orders. The holder must stop; after the backoff the lock is acquired over it.
 func TestLockReplacesForeignEntry(t *testing.T) {
 	m := &memoryStore{value: "bytes", revision: 5}
-	seat, _ := newTestLock(t, m, "a")
-	seat.ObserveForeign(5)
-	if seat.TryAcquire(t.Context()) || m.writes != 0 {
+	lock, _ := newTestLock(t, m, "a")
+	lock.ObserveForeign(5)
+	if lock.TryAcquire(t.Context()) || m.writes != 0 {
 		t.Errorf("tried without backoff (%d writes) while an earlier holder may not have noticed yet", m.writes)
 	}
-	seat.backoff = 0
-	if !seat.TryAcquire(t.Context()) {
+	lock.backoff = 0
+	if !lock.TryAcquire(t.Context()) {
 		t.Fatal("the lock was not acquired over the foreign entry")
 	}
-	if fence, ok := seat.Held(); !ok || fence != 6 {
+	if fence, ok := lock.Held(); !ok || fence != 6 {
 		t.Errorf("held = %v with fence %d, want 6, one above the foreign entry's", ok, fence)
 	}
 	m.value, m.revision = "bytes again", 7
-	seat.ObserveForeign(7)
-	if _, ok := seat.Held(); ok {
+	lock.ObserveForeign(7)
+	if _, ok := lock.Held(); ok {
 		t.Error("the lock is held although its entry is foreign")
 	}
-	seat.ObserveForeign(4)
-	seat.Observe("b", 8)
-	if seat.TryAcquire(t.Context()) {
+	lock.ObserveForeign(4)
+	lock.Observe("b", 8)
+	if lock.TryAcquire(t.Context()) {
 		t.Error("acquired a lock that another process holds")
 	}
 }
@@ -184,16 +184,16 @@
 // release the lock before that, or newly released weights would have to wait.
 func TestLockReleaseBeforeLeaseEnds(t *testing.T) {
 	m := &memoryStore{}
-	seat, _ := newTestLock(t, m, "a")
-	seat.TryAcquire(t.Context())
-	if err := seat.Release(t.Context()); err != nil {
+	lock, _ := newTestLock(t, m, "a")
+	lock.TryAcquire(t.Context())
+	if err := lock.Release(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if _, held := seat.Held(); held || m.value != "" {
+	if _, held := lock.Held(); held || m.value != "" {
 		t.Errorf("held = %v and the key has %q, want a released lock", held, m.value)
 	}
-	seat.Observe("a", m.revision-1)
-	if _, held := seat.Held(); held {
+	lock.Observe("a", m.revision-1)
+	if _, held := lock.Held(); held {
 		t.Error("a late observation of the acquisition revived a released lock")
 	}
 }
@@ -202,10 +202,10 @@
 // holder's entry.
 func TestReleaseKeepsLockOfOtherHolder(t *testing.T) {
 	m := &memoryStore{}
-	seat, _ := newTestLock(t, m, "a")
-	seat.TryAcquire(t.Context())
+	lock, _ := newTestLock(t, m, "a")
+	lock.TryAcquire(t.Context())
 	m.value, m.revision = "b", m.revision+1
-	if err := seat.Release(t.Context()); err != nil || m.value != "b" {
+	if err := lock.Release(t.Context()); err != nil || m.value != "b" {
 		t.Errorf("release returned %v and the key has %q, want b", err, m.value)
 	}
 }
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -87,11 +87,11 @@
 	slices.SortFunc(due, d.compare)
 	free := d.concurrency(due) - len(in.InProgress)
 	for i, r := range due {
-		t := Decision{Runner: r, Urgent: d.urgent[r.ID]}
+		decision := Decision{Runner: r, Urgent: d.urgent[r.ID]}
 		if i >= free && !d.bypassesLimit(r) {
-			t.WaitReason = ConcurrencyLimit
+			decision.WaitReason = ConcurrencyLimit
 		}
-		decisions = append(decisions, t)
+		decisions = append(decisions, decision)
 	}
 	return decisions
 }
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -22,9 +22,9 @@
 // runnersToOrder returns the runners that get an order now.
 func runnersToOrder(in Input) []fleet.Runner {
 	var out []fleet.Runner
-	for _, t := range Plan(in) {
-		if t.WaitReason == None {
-			out = append(out, t.Runner)
+	for _, decision := range Plan(in) {
+		if decision.WaitReason == None {
+			out = append(out, decision.Runner)
 		}
 	}
 	return out
@@ -118,11 +118,11 @@
 func TestFrequentReleasesStarveNoRunner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(4, 60).Draw(t, "runners")
-		each := time.Duration(rapid.IntRange(10, 60).Draw(t, "order duration in tenths of a second")) * 100 * time.Millisecond
-		names := time.Duration(rapid.IntRange(10, 60).Draw(t, "release interval in tenths of a second")) * 100 * time.Millisecond
+		orderDuration := time.Duration(rapid.IntRange(10, 60).Draw(t, "order duration in tenths of a second")) * 100 * time.Millisecond
+		interval := time.Duration(rapid.IntRange(10, 60).Draw(t, "release interval in tenths of a second")) * 100 * time.Millisecond
 		// Half of the runners at a time need two rounds, and earlier rounds may have to end first.
-		bound := 4*each + time.Duration(rapid.IntRange(0, 100).Draw(t, "extra time in tenths of a second"))*100*time.Millisecond
-		simulateReleases(t, n, each, names, bound, rapid.SliceOfN(rapid.IntRange(0, 3), n, n).Draw(t, "long runs"))
+		maxStaleness := 4*orderDuration + time.Duration(rapid.IntRange(0, 100).Draw(t, "extra time in tenths of a second"))*100*time.Millisecond
+		simulateReleases(t, n, orderDuration, interval, maxStaleness, rapid.SliceOfN(rapid.IntRange(0, 3), n, n).Draw(t, "long runs"))
 	})
 }
 
--- a/rollout/waiting.go
+++ b/rollout/waiting.go
@@ -52,22 +52,22 @@
 
 // record adds the decisions for the runners of one model.
 func (w *waitReporter) record(in Input, decisions []Decision) {
-	for _, t := range decisions {
-		w.counts[t.WaitReason]++
-		staleFor := in.StaleFor[t.Runner.ID]
+	for _, decision := range decisions {
+		w.counts[decision.WaitReason]++
+		staleFor := in.StaleFor[decision.Runner.ID]
 		if staleFor < logAfter {
 			continue
 		}
-		key := staleRunner{t.Runner.Life(), in.Model}
-		w.current[key] = t.WaitReason
-		if t.WaitReason == None || w.logged[key] == t.WaitReason {
+		key := staleRunner{decision.Runner.Life(), in.Model}
+		w.current[key] = decision.WaitReason
+		if decision.WaitReason == None || w.logged[key] == decision.WaitReason {
 			continue
 		}
 		w.log.WithFields(logrus.Fields{
-			"event": "order_waits", "runner": t.Runner.ID, "born": t.Runner.Born, "model": in.Model, "reason": t.WaitReason,
-			"weights": t.Runner.Weights[in.Model], "newest": in.Desired, "behind_ms": staleFor.Milliseconds(),
-			"inflight": in.Inflight[t.Runner.ID], "long": in.LongRuns[t.Runner.ID],
-			"underway_ms": in.InProgress[t.Runner.ID].Milliseconds(), "underway": len(in.InProgress), "at_once": in.MaxConcurrent,
+			"event": "order_waits", "runner": decision.Runner.ID, "born": decision.Runner.Born, "model": in.Model, "reason": decision.WaitReason,
+			"weights": decision.Runner.Weights[in.Model], "newest": in.Desired, "behind_ms": staleFor.Milliseconds(),
+			"inflight": in.Inflight[decision.Runner.ID], "long": in.LongRuns[decision.Runner.ID],
+			"underway_ms": in.InProgress[decision.Runner.ID].Milliseconds(), "underway": len(in.InProgress), "at_once": in.MaxConcurrent,
 		}).Info("runner on older weights gets no load order yet")
 	}
 }
