--- a/admission/queue.go
+++ b/admission/queue.go
@@ -110,9 +110,9 @@
 	return Backlog{Cost: max(ahead.Cost, own.Cost), Count: max(ahead.Count, own.Count)}
 }
 
-func (l *Backlog) add(cost time.Duration) {
-	l.Cost += cost
-	l.Count++
+func (b *Backlog) add(cost time.Duration) {
+	b.Cost += cost
+	b.Count++
 }
 
 // activeCustomers returns the number of customers, including the given one, that have
