--- a/rollout/deadline.go
+++ b/rollout/deadline.go
@@ -15,12 +15,12 @@
 	urgent map[string]bool
 }
 
-func (in Input) deadlines(stale []fleet.Runner) deadlines {
+func (in Input) deadlines(stale []fleet.Target) deadlines {
 	d := deadlines{in, map[string]bool{}}
 	if in.MaxStaleness <= 0 {
 		return d
 	}
-	byTimeLeft := slices.SortedFunc(slices.Values(stale), func(a, b fleet.Runner) int { return cmp.Compare(d.timeLeft(a), d.timeLeft(b)) })
+	byTimeLeft := slices.SortedFunc(slices.Values(stale), func(a, b fleet.Target) int { return cmp.Compare(d.timeLeft(a), d.timeLeft(b)) })
 	for i := len(byTimeLeft) - 1; i >= 0; i-- {
 		batches := i/max(1, in.MaxConcurrent) + 1
 		left := d.timeLeft(byTimeLeft[i])
@@ -37,7 +37,7 @@
 }
 
 // timeLeft returns for how long a runner still gets requests.
-func (d deadlines) timeLeft(r fleet.Runner) time.Duration {
+func (d deadlines) timeLeft(r fleet.Target) time.Duration {
 	return d.MaxStaleness - d.StaleFor[r.ID]
 }
 
@@ -46,14 +46,14 @@
 // still wait there for a slot. An order makes the runner refuse those without running
 // them, so that they are sent elsewhere before the bound on stale weights; the load
 // begins only when the running requests have ended.
-func (d deadlines) bypassesLimit(r fleet.Runner) bool {
+func (d deadlines) bypassesLimit(r fleet.Target) bool {
 	return d.MaxStaleness > 0 && d.timeLeft(r) <= 0 && d.Inflight[r.ID] > 0
 }
 
 // concurrency returns how many orders may be in progress so that each due runner, in
 // this order, completes its order in time. Above MaxConcurrent, at least half of the
 // runners stay in service.
-func (d deadlines) concurrency(due []fleet.Runner) int {
+func (d deadlines) concurrency(due []fleet.Target) int {
 	limit := d.MaxConcurrent
 	for i, r := range due {
 		if left := d.timeLeft(r); d.urgent[r.ID] && left > 0 {
--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -18,7 +18,7 @@
 // RunnerClient sends calls to runners.
 type RunnerClient interface {
 	// Report returns the state of a runner.
-	Report(ctx context.Context, of fleet.Runner) (fleet.Report, error)
+	Report(ctx context.Context, of fleet.Target) (fleet.Status, error)
 	// Order sends a load order to its runner.
 	Order(ctx context.Context, o fleet.Order) (fleet.OrderResult, error)
 }
@@ -79,7 +79,7 @@
 // activeOrder is an order that has not ended: the incarnation of its runner, and when
 // it was planned.
 type activeOrder struct {
-	life  fleet.Life
+	life  fleet.Instance
 	since time.Time
 }
 
@@ -133,10 +133,10 @@
 func (c *Controller) reconcile(ctx context.Context) {
 	services := c.services()
 	c.waits.beginPass()
-	for model, desired := range c.fleet.Named() {
-		var runners []fleet.Runner
+	for model, desired := range c.fleet.DesiredVersions() {
+		var runners []fleet.Target
 		for _, service := range services[model] {
-			runners = append(runners, c.fleet.Runners(service)...)
+			runners = append(runners, c.fleet.Targets(service)...)
 		}
 		in := c.planInput(model, desired, runners)
 		decisions := Plan(in)
@@ -150,7 +150,7 @@
 	c.waits.endPass()
 }
 
-func (c *Controller) planInput(model string, desired int64, runners []fleet.Runner) Input {
+func (c *Controller) planInput(model string, desired int64, runners []fleet.Target) Input {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	in := Input{
@@ -164,19 +164,19 @@
 	}
 	now := time.Now()
 	for id, u := range c.inProgress {
-		if c.fleet.Holds(u.life) {
+		if c.fleet.IsCurrent(u.life) {
 			in.InProgress[id] = now.Sub(u.since)
 		}
 	}
 	if len(runners) > 0 {
-		loads := c.fleet.Loads(runners[0].Service)
+		loads := c.fleet.WeightLoads(runners[0].Service)
 		in.MaxConcurrent = loads.MaxConcurrent(len(runners))
 		in.MaxStaleness, in.OrderDuration = c.maxStaleness, cmp.Or(c.orderDuration, loads.OrderDuration())
 	}
 	for _, r := range runners {
-		load := c.fleet.Inflight(r.Life())
+		load := c.fleet.Occupancy(r.Instance())
 		in.Inflight[r.ID], in.LongRuns[r.ID] = load.Inflight, load.Long
-		in.StaleFor[r.ID] = c.fleet.BehindFor(model, r.Weights[model], now)
+		in.StaleFor[r.ID] = c.fleet.StaleFor(model, r.Weights[model], now)
 	}
 	return in
 }
@@ -184,12 +184,12 @@
 func (c *Controller) startOrder(ctx context.Context, decision Decision, model string, desired int64) {
 	r := decision.Runner
 	c.mu.Lock()
-	c.inProgress[r.ID] = activeOrder{life: r.Life(), since: time.Now()}
+	c.inProgress[r.ID] = activeOrder{life: r.Instance(), since: time.Now()}
 	c.mu.Unlock()
 	go func() {
 		c.updateRunner(ctx, decision, model, desired)
 		c.mu.Lock()
-		if c.inProgress[r.ID].life == r.Life() {
+		if c.inProgress[r.ID].life == r.Instance() {
 			delete(c.inProgress, r.ID)
 		}
 		c.mu.Unlock()
@@ -215,10 +215,10 @@
 func (c *Controller) updateRunner(ctx context.Context, decision Decision, model string, desired int64) {
 	r, start := decision.Runner, time.Now()
 	truncate := c.clear(ctx, decision)
-	drainTime, remaining := time.Since(start), c.fleet.Inflight(r.Life())
+	drainTime, remaining := time.Since(start), c.fleet.Occupancy(r.Instance())
 	report, err := c.client.Report(ctx, r)
-	if errors.Is(err, fleet.ErrOtherRunner) {
-		c.fleet.Ended(r.Life())
+	if errors.Is(err, fleet.ErrTargetReplaced) {
+		c.fleet.RecordEnd(r.Instance())
 	}
 	if err != nil {
 		c.logEvent("report_failed", r, model, desired).WithError(err).Warn("failed to get the state of the runner; retrying")
@@ -233,7 +233,7 @@
 	if report.Born != 0 {
 		r.Born = report.Born
 	}
-	c.fleet.Learn(r.Life(), model, report.Weights[model], time.Now())
+	c.fleet.RecordWeights(r.Instance(), model, report.Weights[model], time.Now())
 	if report.Weights[model] >= desired {
 		return
 	}
@@ -250,18 +250,18 @@
 	// A restarted runner counts its orders from zero. With the count of the earlier
 	// incarnation, it could carry out an order that was not meant for it, or refuse a
 	// newer one.
-	if !c.fleet.Holds(r.Life()) {
+	if !c.fleet.IsCurrent(r.Instance()) {
 		return
 	}
-	result, err := c.sendOrder(ctx, fleet.Order{Runner: r, Model: model, Weights: desired, Holder: c.name, Fence: fence, Orders: report.Orders, Truncate: truncate})
-	c.logEvent("order", r, model, desired).WithFields(logrus.Fields{"result": result, "fence": fence, "orders": report.Orders, "truncate": truncate, "cleared_ms": drainTime.Milliseconds(), "inflight": remaining.Inflight, "resumable": remaining.Resumable, "long": remaining.Long}).WithError(err).Info("load order sent")
+	result, err := c.sendOrder(ctx, fleet.Order{Target: r, Model: model, WeightsVersion: desired, Holder: c.name, Fence: fence, ExpectedOrders: report.AcceptedOrders, Truncate: truncate})
+	c.logEvent("order", r, model, desired).WithFields(logrus.Fields{"result": result, "fence": fence, "orders": report.AcceptedOrders, "truncate": truncate, "cleared_ms": drainTime.Milliseconds(), "inflight": remaining.Inflight, "resumable": remaining.Resumable, "long": remaining.Long}).WithError(err).Info("load order sent")
 	switch result {
-	case fleet.OrderHolds:
-		c.fleet.Learn(r.Life(), model, desired, time.Now())
+	case fleet.OrderAlreadyLoaded:
+		c.fleet.RecordWeights(r.Instance(), model, desired, time.Now())
 	case fleet.OrderMisdirected:
 		// Another runner answers at this address, so this one has ended even if it is
 		// still listed.
-		c.fleet.Ended(r.Life())
+		c.fleet.RecordEnd(r.Instance())
 	case fleet.OrderAccepted:
 		if c.awaitLoad(ctx, r, model, desired) {
 			c.recordDuration(time.Since(start))
@@ -294,14 +294,14 @@
 	if decision.Urgent {
 		checks = urgentDrainChecks
 	}
-	if c.fleet.Inflight(r.Life()).Long == 0 || c.truncationDisabled.Load() || c.fleet.Off(policy.Truncation) {
+	if c.fleet.Occupancy(r.Instance()).Long == 0 || c.truncationDisabled.Load() || c.fleet.Disabled(policy.Truncation) {
 		return false
 	}
 	for range checks {
-		c.fleet.Busy(r.Life(), time.Now().Add(busyDuration))
+		c.fleet.RecordBusy(r.Instance(), time.Now().Add(busyDuration))
 		c.notify()
 		clock.Sleep(ctx, drainCheckInterval)
-		if load := c.fleet.Inflight(r.Life()); load.Inflight == load.Resumable {
+		if load := c.fleet.Occupancy(r.Instance()); load.Inflight == load.Resumable {
 			return load.Inflight > 0
 		}
 	}
@@ -332,12 +332,12 @@
 
 // awaitLoad polls a runner until its order has ended, and reports whether the runner
 // has loaded the weights.
-func (c *Controller) awaitLoad(ctx context.Context, r fleet.Runner, model string, desired int64) bool {
+func (c *Controller) awaitLoad(ctx context.Context, r fleet.Target, model string, desired int64) bool {
 	start := time.Now()
-	c.fleet.Busy(r.Life(), start.Add(busyDuration))
+	c.fleet.RecordBusy(r.Instance(), start.Add(busyDuration))
 	c.notify()
 	clock.Sleep(ctx, firstPollDelay)
-	for ctx.Err() == nil && time.Since(start) < orderTimeout && c.fleet.Live(r.Life()) {
+	for ctx.Err() == nil && time.Since(start) < orderTimeout && c.fleet.Available(r.Instance()) {
 		report, err := c.client.Report(ctx, r)
 		if err == nil && !c.checkLife(r, report) {
 			// The order ended with the incarnation that accepted it. A load by the
@@ -345,16 +345,16 @@
 			return false
 		}
 		if err == nil && report.Weights[model] >= desired {
-			c.fleet.Learn(r.Life(), model, desired, time.Now())
+			c.fleet.RecordWeights(r.Instance(), model, desired, time.Now())
 			c.notify()
-			c.fleet.WeightsLoaded(r.Service, time.Since(start))
+			c.fleet.RecordWeightLoad(r.Service, time.Since(start))
 			c.logEvent("loaded", r, model, desired).WithField("took_ms", time.Since(start).Milliseconds()).Info("runner has loaded the weights")
 			return true
 		}
 		if err == nil && !report.Busy {
 			return false
 		}
-		c.fleet.Busy(r.Life(), time.Now().Add(busyDuration))
+		c.fleet.RecordBusy(r.Instance(), time.Now().Add(busyDuration))
 		clock.Sleep(ctx, pollInterval)
 	}
 	return false
@@ -363,20 +363,20 @@
 // checkLife reports whether a report is of the expected incarnation of a runner. A
 // report of a later incarnation ends the expected one, and its versions are recorded; a
 // report of an earlier one is ignored.
-func (c *Controller) checkLife(r fleet.Runner, report fleet.Report) bool {
-	life := fleet.Life{ID: r.ID, Born: report.Born}
-	if !c.fleet.Hear(life) {
+func (c *Controller) checkLife(r fleet.Target, report fleet.Status) bool {
+	life := fleet.Instance{ID: r.ID, Born: report.Born}
+	if !c.fleet.Observe(life) {
 		return false
 	}
-	if life.Same(r.Life()) {
+	if life.Matches(r.Instance()) {
 		return true
 	}
 	for model, version := range report.Weights {
-		c.fleet.Learn(life, model, version, time.Now())
+		c.fleet.RecordWeights(life, model, version, time.Now())
 	}
 	return false
 }
 
-func (c *Controller) logEvent(name string, r fleet.Runner, model string, desired int64) *logrus.Entry {
+func (c *Controller) logEvent(name string, r fleet.Target, model string, desired int64) *logrus.Entry {
 	return c.log.WithFields(logrus.Fields{"event": name, "runner": r.ID, "born": r.Born, "model": model, "weights": desired})
 }
--- a/rollout/holder_test.go
+++ b/rollout/holder_test.go
@@ -15,14 +15,14 @@
 	orders []fleet.Order
 }
 
-func (c *recordingClient) Report(context.Context, fleet.Runner) (fleet.Report, error) {
+func (c *recordingClient) Report(context.Context, fleet.Target) (fleet.Status, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	version := int64(1)
 	if len(c.orders) > 0 {
-		version = c.orders[len(c.orders)-1].Weights
+		version = c.orders[len(c.orders)-1].WeightsVersion
 	}
-	return fleet.Report{Weights: map[string]int64{"m": version}}, nil
+	return fleet.Status{Weights: map[string]int64{"m": version}}, nil
 }
 
 func (c *recordingClient) Order(_ context.Context, order fleet.Order) (fleet.OrderResult, error) {
@@ -54,7 +54,7 @@
 // with a lower fencing token. It must be canceled when the leadership ends.
 func TestOrderIsCanceledWhenLeadershipEnds(t *testing.T) {
 	f := fleet.New("z")
-	r := fleet.Runner{ID: "r", Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
+	r := fleet.Target{ID: "r", Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
 	f.Put(r)
 	c := NewController("n", Config{Leadership: expiringLeader{}, Client: &blockedClient{}, Fleet: f, Notify: func() {}}, discardLogger())
 	// If the order is not canceled, the test fails by its own time-out.
@@ -63,13 +63,13 @@
 
 // updateOne updates one runner with the given requests in progress to weights 2 and
 // returns the order that it got.
-func updateOne(t *testing.T, stays ...fleet.Stay) fleet.Order {
+func updateOne(t *testing.T, stays ...fleet.RequestLoad) fleet.Order {
 	t.Helper()
 	f := fleet.New("z")
-	r := fleet.Runner{ID: "r", Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
+	r := fleet.Target{ID: "r", Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
 	f.Put(r)
 	for _, s := range stays {
-		f.Begin(r.Life(), s, time.Now())
+		f.Begin(r.Instance(), s, time.Now())
 	}
 	client := &recordingClient{}
 	c := NewController("n", Config{Leadership: alwaysLeader{}, Client: client, Fleet: f, Notify: func() {}}, discardLogger())
@@ -83,16 +83,16 @@
 // Truncating a run that cannot be resumed elsewhere loses its answer; leaving resumable
 // long runs to end keeps a runner nearly idle for seconds.
 func TestOnlyResumableRunsAreTruncated(t *testing.T) {
-	draft := fleet.Stay{Long: true, Resumable: true}
+	draft := fleet.RequestLoad{Long: true, Resumable: true}
 	for _, test := range []struct {
 		name  string
-		stays []fleet.Stay
+		stays []fleet.RequestLoad
 		want  bool
 	}{
-		{"only resumable long runs", []fleet.Stay{draft, draft}, true},
-		{"a long run beside one that is not resumable", []fleet.Stay{draft, {}}, false},
-		{"a long run that is not resumable", []fleet.Stay{{Long: true}}, false},
-		{"short runs", []fleet.Stay{{Resumable: true}}, false},
+		{"only resumable long runs", []fleet.RequestLoad{draft, draft}, true},
+		{"a long run beside one that is not resumable", []fleet.RequestLoad{draft, {}}, false},
+		{"a long run that is not resumable", []fleet.RequestLoad{{Long: true}}, false},
+		{"short runs", []fleet.RequestLoad{{Resumable: true}}, false},
 		{"nothing", nil, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/rollout/life_test.go
+++ b/rollout/life_test.go
@@ -14,12 +14,12 @@
 // orders.
 type restartingRunner struct {
 	mu      sync.Mutex
-	reports []fleet.Report
+	reports []fleet.Status
 	orders  []fleet.Order
 	result  fleet.OrderResult
 }
 
-func (l *restartingRunner) Report(context.Context, fleet.Runner) (fleet.Report, error) {
+func (l *restartingRunner) Report(context.Context, fleet.Target) (fleet.Status, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.reports[0]
@@ -37,8 +37,8 @@
 }
 
 // reportOf returns a report of an incarnation with weights 1, or with those given.
-func reportOf(born, orders int64, weights ...int64) fleet.Report {
-	return fleet.Report{Born: born, Orders: orders, Weights: map[string]int64{"m": append(slices.Clone(weights), 1)[0]}}
+func reportOf(born, orders int64, weights ...int64) fleet.Status {
+	return fleet.Status{Born: born, AcceptedOrders: orders, Weights: map[string]int64{"m": append(slices.Clone(weights), 1)[0]}}
 }
 
 // leaderFunc calls the function before it reports that the leadership is held.
@@ -53,9 +53,9 @@
 
 // fleetWithRunner returns a fleet with one runner, in the incarnation that started at
 // 10.
-func fleetWithRunner() (*fleet.Fleet, fleet.Runner) {
+func fleetWithRunner() (*fleet.Fleet, fleet.Target) {
 	f := fleet.New("z")
-	r := fleet.Runner{ID: "r", Born: 10, Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
+	r := fleet.Target{ID: "r", Born: 10, Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
 	f.Put(r)
 	return f, r
 }
@@ -70,10 +70,10 @@
 // earlier incarnation, the order could be refused, or carried out after newer ones.
 func TestNoOrderAfterRunnerRestarts(t *testing.T) {
 	f, r := fleetWithRunner()
-	client := &restartingRunner{reports: []fleet.Report{reportOf(10, 3)}, result: fleet.OrderAccepted}
-	testController(f, client, func() { f.Hear(fleet.Life{ID: "r", Born: 20}) }).updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
+	client := &restartingRunner{reports: []fleet.Status{reportOf(10, 3)}, result: fleet.OrderAccepted}
+	testController(f, client, func() { f.Observe(fleet.Instance{ID: "r", Born: 20}) }).updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
 	if len(client.orders) != 0 {
-		t.Errorf("an order was sent with the order count %d of the earlier incarnation", client.orders[0].Orders)
+		t.Errorf("an order was sent with the order count %d of the earlier incarnation", client.orders[0].ExpectedOrders)
 	}
 }
 
@@ -81,20 +81,20 @@
 // it, an earlier one must change nothing and lead to no order.
 func TestReportFromAnotherIncarnation(t *testing.T) {
 	f, r := fleetWithRunner()
-	client := &restartingRunner{reports: []fleet.Report{reportOf(20, 0)}, result: fleet.OrderHolds}
+	client := &restartingRunner{reports: []fleet.Status{reportOf(20, 0)}, result: fleet.OrderAlreadyLoaded}
 	c := testController(f, client, func() {})
 	c.updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
-	if len(client.orders) != 0 || !f.Holds(fleet.Life{ID: "r", Born: 20}) {
+	if len(client.orders) != 0 || !f.IsCurrent(fleet.Instance{ID: "r", Born: 20}) {
 		t.Fatalf("got %d orders before the new incarnation was planned for, want 0", len(client.orders))
 	}
-	client.reports = []fleet.Report{reportOf(10, 7, 9)}
-	c.updateRunner(t.Context(), Decision{Runner: f.Runners("lm")[0]}, "m", 2)
-	if v := f.Runners("lm")[0].Weights["m"]; len(client.orders) != 0 || v != 1 {
+	client.reports = []fleet.Status{reportOf(10, 7, 9)}
+	c.updateRunner(t.Context(), Decision{Runner: f.Targets("lm")[0]}, "m", 2)
+	if v := f.Targets("lm")[0].Weights["m"]; len(client.orders) != 0 || v != 1 {
 		t.Errorf("a report of an earlier incarnation led to %d orders and weights %d", len(client.orders), v)
 	}
-	client.reports = []fleet.Report{reportOf(20, 0)}
-	c.updateRunner(t.Context(), Decision{Runner: f.Runners("lm")[0]}, "m", 2)
-	if len(client.orders) != 1 || client.orders[0].Orders != 0 || client.orders[0].Runner.Born != 20 {
+	client.reports = []fleet.Status{reportOf(20, 0)}
+	c.updateRunner(t.Context(), Decision{Runner: f.Targets("lm")[0]}, "m", 2)
+	if len(client.orders) != 1 || client.orders[0].ExpectedOrders != 0 || client.orders[0].Target.Born != 20 {
 		t.Errorf("sent %+v, want one order to the new incarnation with order count 0", client.orders)
 	}
 }
@@ -103,15 +103,15 @@
 // order must neither block a new one nor be taken as completed.
 func TestOrderEndsWhenRunnerRestarts(t *testing.T) {
 	f, r := fleetWithRunner()
-	f.Name("m", 2, time.Now(), false)
-	client := &restartingRunner{reports: []fleet.Report{reportOf(10, 3), reportOf(20, 0)}, result: fleet.OrderAccepted}
+	f.RecordDesired("m", 2, time.Now(), false)
+	client := &restartingRunner{reports: []fleet.Status{reportOf(10, 3), reportOf(20, 0)}, result: fleet.OrderAccepted}
 	c := testController(f, client, func() {})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	c.startOrder(ctx, Decision{Runner: r}, "m", 2)
-	now := f.Runners("lm")
+	now := f.Targets("lm")
 	// The new start time is recorded just before the weights.
-	for end := time.Now().Add(10 * time.Second); (now[0].Born != 20 || now[0].Weights["m"] == 0) && time.Now().Before(end); now = f.Runners("lm") {
+	for end := time.Now().Add(10 * time.Second); (now[0].Born != 20 || now[0].Weights["m"] == 0) && time.Now().Before(end); now = f.Targets("lm") {
 		time.Sleep(time.Millisecond)
 	}
 	if v := now[0].Weights["m"]; v != 1 {
@@ -125,13 +125,13 @@
 // The response to an order arrives after the runner has restarted. Applied to the new
 // incarnation, it would record weights that were never loaded, or remove the runner.
 func TestLateOrderResponseIsIgnored(t *testing.T) {
-	for _, result := range []fleet.OrderResult{fleet.OrderHolds, fleet.OrderMisdirected} {
+	for _, result := range []fleet.OrderResult{fleet.OrderAlreadyLoaded, fleet.OrderMisdirected} {
 		f, r := fleetWithRunner()
-		client := &slowClient{restartingRunner: restartingRunner{reports: []fleet.Report{reportOf(10, 3)}, result: result}, before: func() {
-			f.Put(fleet.Runner{ID: "r", Born: 20, Service: "lm", Address: "r:1", Weights: map[string]int64{"m": 1}})
+		client := &slowClient{restartingRunner: restartingRunner{reports: []fleet.Status{reportOf(10, 3)}, result: result}, before: func() {
+			f.Put(fleet.Target{ID: "r", Born: 20, Service: "lm", Address: "r:1", Weights: map[string]int64{"m": 1}})
 		}}
 		NewController("n", Config{Leadership: alwaysLeader{}, Client: client, Fleet: f, Notify: func() {}}, discardLogger()).updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
-		if now := f.Runners("lm"); len(now) != 1 || now[0].Weights["m"] != 1 {
+		if now := f.Targets("lm"); len(now) != 1 || now[0].Weights["m"] != 1 {
 			t.Errorf("result %s for an earlier incarnation changed the runners to %+v", result, now)
 		}
 	}
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -15,7 +15,7 @@
 type Input struct {
 	Model   string
 	Desired int64
-	Runners []fleet.Runner
+	Runners []fleet.Target
 	// InProgress is how long ago each order that has not ended was planned, by runner
 	// ID.
 	InProgress map[string]time.Duration
@@ -61,7 +61,7 @@
 
 // Decision is the plan for one stale runner.
 type Decision struct {
-	Runner     fleet.Runner
+	Runner     fleet.Target
 	WaitReason WaitReason
 	// Urgent is set if the runner's deadline would be missed at the usual concurrency.
 	Urgent bool
@@ -76,7 +76,7 @@
 	var decisions []Decision
 	stale := in.stale()
 	d := in.deadlines(stale)
-	var due []fleet.Runner
+	var due []fleet.Target
 	for _, r := range stale {
 		if wait := d.waitReason(r); wait != None {
 			decisions = append(decisions, Decision{Runner: r, WaitReason: wait})
@@ -96,8 +96,8 @@
 	return decisions
 }
 
-func (in Input) stale() []fleet.Runner {
-	var out []fleet.Runner
+func (in Input) stale() []fleet.Target {
+	var out []fleet.Target
 	for _, r := range in.Runners {
 		if r.Weights[in.Model] < in.Desired {
 			out = append(out, r)
@@ -107,7 +107,7 @@
 }
 
 // waitReason returns why a stale runner is not due.
-func (d deadlines) waitReason(r fleet.Runner) WaitReason {
+func (d deadlines) waitReason(r fleet.Target) WaitReason {
 	_, underway := d.InProgress[r.ID]
 	switch {
 	case r.Draining:
@@ -120,7 +120,7 @@
 	return None
 }
 
-func (d deadlines) compare(a, b fleet.Runner) int {
+func (d deadlines) compare(a, b fleet.Target) int {
 	if d.urgent[a.ID] || d.urgent[b.ID] {
 		return cmp.Or(
 			cmp.Compare(d.timeLeft(a), d.timeLeft(b)),
@@ -129,7 +129,7 @@
 	return d.compareLoad(a, b)
 }
 
-func (d deadlines) compareLoad(a, b fleet.Runner) int {
+func (d deadlines) compareLoad(a, b fleet.Target) int {
 	return cmp.Or(
 		cmp.Compare(d.LongRuns[a.ID], d.LongRuns[b.ID]),
 		cmp.Compare(a.Weights[d.Model], b.Weights[d.Model]),
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -11,17 +11,17 @@
 	"acaciakeel/forecast"
 )
 
-func runnersAt(versions ...int64) []fleet.Runner {
-	out := make([]fleet.Runner, len(versions))
+func runnersAt(versions ...int64) []fleet.Target {
+	out := make([]fleet.Target, len(versions))
 	for i, v := range versions {
-		out[i] = fleet.Runner{ID: fmt.Sprintf("r%d", i), Weights: map[string]int64{"m": v}}
+		out[i] = fleet.Target{ID: fmt.Sprintf("r%d", i), Weights: map[string]int64{"m": v}}
 	}
 	return out
 }
 
 // runnersToOrder returns the runners that get an order now.
-func runnersToOrder(in Input) []fleet.Runner {
-	var out []fleet.Runner
+func runnersToOrder(in Input) []fleet.Target {
+	var out []fleet.Target
 	for _, decision := range Plan(in) {
 		if decision.WaitReason == None {
 			out = append(out, decision.Runner)
@@ -57,7 +57,7 @@
 		{"higher concurrency if deadlines would be missed", Input{Desired: 2, Runners: runnersAt(1, 1, 1, 1, 1, 1, 1, 1), StaleFor: staleFor(8, 2*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: 3 * time.Second}, "[r0 r1 r2 r3]"},
 		{"past its bound with requests waiting: at once", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, Inflight: map[string]int{"r1": 2}, StaleFor: staleFor(2, 11*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: time.Second}, "[r1]"},
 		{"past its bound and idle: in turn", Input{Desired: 2, Runners: runnersAt(1, 1), InProgress: map[string]time.Duration{"r0": 0}, StaleFor: staleFor(2, 11*time.Second), MaxConcurrent: 1, MaxStaleness: 10 * time.Second, OrderDuration: time.Second}, "[]"},
-		{"draining runners get no order", Input{Desired: 2, Runners: []fleet.Runner{{ID: "r0", Draining: true}}, MaxConcurrent: 1}, "[]"},
+		{"draining runners get no order", Input{Desired: 2, Runners: []fleet.Target{{ID: "r0", Draining: true}}, MaxConcurrent: 1}, "[]"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.in.Model = "m"
@@ -104,7 +104,7 @@
 	})
 }
 
-func runnerByID(runners []fleet.Runner, id string) *fleet.Runner {
+func runnerByID(runners []fleet.Target, id string) *fleet.Target {
 	for i := range runners {
 		if runners[i].ID == id {
 			return &runners[i]
--- a/rollout/waiting.go
+++ b/rollout/waiting.go
@@ -37,7 +37,7 @@
 
 // staleRunner identifies an incarnation of a runner with stale weights of a model.
 type staleRunner struct {
-	life  fleet.Life
+	life  fleet.Instance
 	model string
 }
 
@@ -58,7 +58,7 @@
 		if staleFor < logAfter {
 			continue
 		}
-		key := staleRunner{decision.Runner.Life(), in.Model}
+		key := staleRunner{decision.Runner.Instance(), in.Model}
 		w.current[key] = decision.WaitReason
 		if decision.WaitReason == None || w.logged[key] == decision.WaitReason {
 			continue
