--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -44,7 +44,7 @@
 	// know of it, they send requests to a runner that refuses them.
 	Notify  func()
 	Metrics *Metrics
-	// MaxStaleness is how long after the release of newer weights a runner still gets
+	// MaxStaleness is how long after a newer version became desired a runner still gets
 	// requests.
 	MaxStaleness time.Duration
 }
@@ -68,7 +68,7 @@
 
 	mu sync.Mutex
 	// inProgress holds the orders that have not ended, by runner ID. When a runner
-	// restarts, the order of its earlier incarnation no longer counts; otherwise the
+	// restarts, the order of its earlier instance no longer counts; otherwise the
 	// restarted runner would never get an order.
 	inProgress map[string]activeOrder
 	// orderDuration is the smoothed time from planning an order to the end of the load;
@@ -76,11 +76,11 @@
 	orderDuration time.Duration
 }
 
-// activeOrder is an order that has not ended: the incarnation of its runner, and when
-// it was planned.
+// activeOrder is an order that has not ended: the instance of its runner, and when the
+// order was planned.
 type activeOrder struct {
-	life  fleet.Instance
-	since time.Time
+	instance fleet.Instance
+	since    time.Time
 }
 
 // NewController returns a controller. name is the name of the VM and is sent with each
@@ -164,7 +164,7 @@
 	}
 	now := time.Now()
 	for id, u := range c.inProgress {
-		if c.fleet.IsCurrent(u.life) {
+		if c.fleet.IsCurrent(u.instance) {
 			in.InProgress[id] = now.Sub(u.since)
 		}
 	}
@@ -184,12 +184,12 @@
 func (c *Controller) startOrder(ctx context.Context, decision Decision, model string, desired int64) {
 	r := decision.Runner
 	c.mu.Lock()
-	c.inProgress[r.ID] = activeOrder{life: r.Instance(), since: time.Now()}
+	c.inProgress[r.ID] = activeOrder{instance: r.Instance(), since: time.Now()}
 	c.mu.Unlock()
 	go func() {
 		c.updateRunner(ctx, decision, model, desired)
 		c.mu.Lock()
-		if c.inProgress[r.ID].life == r.Instance() {
+		if c.inProgress[r.ID].instance == r.Instance() {
 			delete(c.inProgress, r.ID)
 		}
 		c.mu.Unlock()
@@ -225,8 +225,8 @@
 		clock.Sleep(ctx, pollInterval)
 		return
 	}
-	if !c.checkLife(r, report) {
-		c.logEvent("report_other_life", r, model, desired).WithField("reported", report.Born).Warn("report is of another incarnation of the runner; planning again")
+	if !c.checkInstance(r, report) {
+		c.logEvent("report_other_life", r, model, desired).WithField("reported", report.Born).Warn("report is of another instance of the runner; planning again")
 		clock.Sleep(ctx, pollInterval)
 		return
 	}
@@ -248,7 +248,7 @@
 		return
 	}
 	// A restarted runner counts its orders from zero. With the count of the earlier
-	// incarnation, it could carry out an order that was not meant for it, or refuse a
+	// instance, it could carry out an order that was not meant for it, or refuse a
 	// newer one.
 	if !c.fleet.IsCurrent(r.Instance()) {
 		return
@@ -339,8 +339,8 @@
 	clock.Sleep(ctx, firstPollDelay)
 	for ctx.Err() == nil && time.Since(start) < orderTimeout && c.fleet.Available(r.Instance()) {
 		report, err := c.client.Report(ctx, r)
-		if err == nil && !c.checkLife(r, report) {
-			// The order ended with the incarnation that accepted it. A load by the
+		if err == nil && !c.checkInstance(r, report) {
+			// The order ended with the instance that accepted it. A load by the
 			// later one says nothing about the duration of this order.
 			return false
 		}
@@ -360,19 +360,19 @@
 	return false
 }
 
-// checkLife reports whether a report is of the expected incarnation of a runner. A
-// report of a later incarnation ends the expected one, and its versions are recorded; a
+// checkInstance reports whether a report is of the expected instance of a runner. A
+// report of a later instance ends the expected one, and its versions are recorded; a
 // report of an earlier one is ignored.
-func (c *Controller) checkLife(r fleet.Target, report fleet.Status) bool {
-	life := fleet.Instance{ID: r.ID, Born: report.Born}
-	if !c.fleet.Observe(life) {
+func (c *Controller) checkInstance(r fleet.Target, report fleet.Status) bool {
+	instance := fleet.Instance{ID: r.ID, Born: report.Born}
+	if !c.fleet.Observe(instance) {
 		return false
 	}
-	if life.Matches(r.Instance()) {
+	if instance.Matches(r.Instance()) {
 		return true
 	}
 	for model, version := range report.Weights {
-		c.fleet.RecordWeights(life, model, version, time.Now())
+		c.fleet.RecordWeights(instance, model, version, time.Now())
 	}
 	return false
 }
--- a/rollout/life_test.go
+++ b/rollout/life_test.go
@@ -36,7 +36,7 @@
 	return l.result, nil
 }
 
-// reportOf returns a report of an incarnation with weights 1, or with those given.
+// reportOf returns a report of an instance with weights 1, or with those given.
 func reportOf(born, orders int64, weights ...int64) fleet.Status {
 	return fleet.Status{Born: born, AcceptedOrders: orders, Weights: map[string]int64{"m": append(slices.Clone(weights), 1)[0]}}
 }
@@ -51,7 +51,7 @@
 
 func (o leaderFunc) Remaining() time.Duration { return time.Minute }
 
-// fleetWithRunner returns a fleet with one runner, in the incarnation that started at
+// fleetWithRunner returns a fleet with one runner, in the instance that started at
 // 10.
 func fleetWithRunner() (*fleet.Fleet, fleet.Target) {
 	f := fleet.New("z")
@@ -67,35 +67,35 @@
 }
 
 // A runner restarts between its report and the order. With the order count of the
-// earlier incarnation, the order could be refused, or carried out after newer ones.
+// earlier instance, the order could be refused, or carried out after newer ones.
 func TestNoOrderAfterRunnerRestarts(t *testing.T) {
 	f, r := fleetWithRunner()
 	client := &restartingRunner{reports: []fleet.Status{reportOf(10, 3)}, result: fleet.OrderAccepted}
 	testController(f, client, func() { f.Observe(fleet.Instance{ID: "r", Born: 20}) }).updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
 	if len(client.orders) != 0 {
-		t.Errorf("an order was sent with the order count %d of the earlier incarnation", client.orders[0].ExpectedOrders)
+		t.Errorf("an order was sent with the order count %d of the earlier instance", client.orders[0].ExpectedOrders)
 	}
 }
 
-// A report may come from another incarnation than the listed one: a later one replaces
+// A report may come from another instance than the listed one: a later one replaces
 // it, an earlier one must change nothing and lead to no order.
-func TestReportFromAnotherIncarnation(t *testing.T) {
+func TestReportFromAnotherInstance(t *testing.T) {
 	f, r := fleetWithRunner()
 	client := &restartingRunner{reports: []fleet.Status{reportOf(20, 0)}, result: fleet.OrderAlreadyLoaded}
 	c := testController(f, client, func() {})
 	c.updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
 	if len(client.orders) != 0 || !f.IsCurrent(fleet.Instance{ID: "r", Born: 20}) {
-		t.Fatalf("got %d orders before the new incarnation was planned for, want 0", len(client.orders))
+		t.Fatalf("got %d orders before the new instance was planned for, want 0", len(client.orders))
 	}
 	client.reports = []fleet.Status{reportOf(10, 7, 9)}
 	c.updateRunner(t.Context(), Decision{Runner: f.Targets("lm")[0]}, "m", 2)
 	if v := f.Targets("lm")[0].Weights["m"]; len(client.orders) != 0 || v != 1 {
-		t.Errorf("a report of an earlier incarnation led to %d orders and weights %d", len(client.orders), v)
+		t.Errorf("a report of an earlier instance led to %d orders and weights %d", len(client.orders), v)
 	}
 	client.reports = []fleet.Status{reportOf(20, 0)}
 	c.updateRunner(t.Context(), Decision{Runner: f.Targets("lm")[0]}, "m", 2)
 	if len(client.orders) != 1 || client.orders[0].ExpectedOrders != 0 || client.orders[0].Target.Born != 20 {
-		t.Errorf("sent %+v, want one order to the new incarnation with order count 0", client.orders)
+		t.Errorf("sent %+v, want one order to the new instance with order count 0", client.orders)
 	}
 }
 
@@ -115,15 +115,15 @@
 		time.Sleep(time.Millisecond)
 	}
 	if v := now[0].Weights["m"]; v != 1 {
-		t.Fatalf("new incarnation has weights %d, want 1", v)
+		t.Fatalf("new instance has weights %d, want 1", v)
 	}
 	if due := runnersToOrder(c.planInput("m", 2, now)); len(due) != 1 || due[0].Born != 20 {
-		t.Errorf("runners to order: %+v, want the new incarnation", due)
+		t.Errorf("runners to order: %+v, want the new instance", due)
 	}
 }
 
 // The response to an order arrives after the runner has restarted. Applied to the new
-// incarnation, it would record weights that were never loaded, or remove the runner.
+// instance, it would record weights that were never loaded, or remove the runner.
 func TestLateOrderResponseIsIgnored(t *testing.T) {
 	for _, result := range []fleet.OrderResult{fleet.OrderAlreadyLoaded, fleet.OrderMisdirected} {
 		f, r := fleetWithRunner()
@@ -132,7 +132,7 @@
 		}}
 		NewController("n", Config{Leadership: alwaysLeader{}, Client: client, Fleet: f, Notify: func() {}}, discardLogger()).updateRunner(t.Context(), Decision{Runner: r}, "m", 2)
 		if now := f.Targets("lm"); len(now) != 1 || now[0].Weights["m"] != 1 {
-			t.Errorf("result %s for an earlier incarnation changed the runners to %+v", result, now)
+			t.Errorf("result %s for an earlier instance changed the runners to %+v", result, now)
 		}
 	}
 }
--- a/rollout/office_test.go
+++ b/rollout/office_test.go
@@ -181,7 +181,7 @@
 }
 
 // A stopping process keeps its lease while it completes its last requests. It must
-// release the lock before that, or newly released weights would have to wait.
+// release the lock before that, or new versions would have to wait.
 func TestLockReleaseBeforeLeaseEnds(t *testing.T) {
 	m := &memoryStore{}
 	lock, _ := newTestLock(t, m, "a")
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -1,6 +1,7 @@
-// Package rollout brings the runners of a model to the weights that the operators
-// release. Plan decides, without side effects, which runners get a load order next; a
-// Controller in one process at a time, the holder of the LeaderLock, sends the orders.
+// Package rollout brings the runners of a model to the version of the weights that the
+// operators set. Plan decides, without side effects, which runners get a load order
+// next; a Controller in one process at a time, the holder of the LeaderLock, sends the
+// orders.
 package rollout
 
 import (
@@ -23,13 +24,13 @@
 	// those that take seconds, by runner ID.
 	Inflight map[string]int
 	LongRuns map[string]int
-	// StaleFor is how long newer weights than the runner's have been released, by
+	// StaleFor is how long a newer version than the runner's has been desired, by
 	// runner ID.
 	StaleFor map[string]time.Duration
 	// MaxConcurrent is the maximum number of orders in progress; more are allowed if
 	// deadlines would be missed otherwise.
 	MaxConcurrent int
-	// MaxStaleness is how long after the release of newer weights a runner still gets
+	// MaxStaleness is how long after a newer version became desired a runner still gets
 	// requests; 0 means no bound. OrderDuration is the expected duration of an order.
 	MaxStaleness  time.Duration
 	OrderDuration time.Duration
@@ -68,7 +69,7 @@
 }
 
 // Plan returns a decision for each stale runner. Urgent runners get their order first,
-// by remaining time: if idler ones went first after every release, the urgent ones
+// by remaining time: if idler ones went first after every new version, the urgent ones
 // would reach their bound one after the other and stay idle until their turn. Of the
 // others, runners without long runs come first because they finish soonest, then those
 // with the oldest weights, then those with the fewest requests.
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// Whatever the versions, and even if newer weights are released halfway, every runner
-// must reach the newest weights, with at most one order per version.
+// Whatever the versions, and even if a newer one appears halfway, every runner must
+// reach the newest weights, with at most one order per version.
 func TestRolloutCompletes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runners := runnersAt(rapid.SliceOfN(rapid.Int64Range(1, 3), 1, 30).Draw(t, "versions")...)
@@ -113,35 +113,35 @@
 	return nil
 }
 
-// With frequent releases, a quarter of the runners reached their bound before their
-// first order because idler runners went first after each release.
-func TestFrequentReleasesStarveNoRunner(t *testing.T) {
+// With frequent new versions, a quarter of the runners reached their bound before their
+// first order because idler runners went first after each version.
+func TestFrequentVersionsStarveNoRunner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(4, 60).Draw(t, "runners")
 		orderDuration := time.Duration(rapid.IntRange(10, 60).Draw(t, "order duration in tenths of a second")) * 100 * time.Millisecond
-		interval := time.Duration(rapid.IntRange(10, 60).Draw(t, "release interval in tenths of a second")) * 100 * time.Millisecond
+		interval := time.Duration(rapid.IntRange(10, 60).Draw(t, "interval between versions in tenths of a second")) * 100 * time.Millisecond
 		// Half of the runners at a time need two rounds, and earlier rounds may have to end first.
 		maxStaleness := 4*orderDuration + time.Duration(rapid.IntRange(0, 100).Draw(t, "extra time in tenths of a second"))*100*time.Millisecond
-		simulateReleases(t, n, orderDuration, interval, maxStaleness, rapid.SliceOfN(rapid.IntRange(0, 3), n, n).Draw(t, "long runs"))
+		simulateVersions(t, n, orderDuration, interval, maxStaleness, rapid.SliceOfN(rapid.IntRange(0, 3), n, n).Draw(t, "long runs"))
 	})
 }
 
-// simulateReleases simulates a minute of releases and fails if a runner reaches its
-// bound without an order.
-func simulateReleases(t *rapid.T, n int, orderDuration, interval, maxStaleness time.Duration, longRuns []int) {
+// simulateVersions simulates a minute in which new versions appear and fails if a
+// runner reaches its bound without an order.
+func simulateVersions(t *rapid.T, n int, orderDuration, interval, maxStaleness time.Duration, longRuns []int) {
 	const step = 100 * time.Millisecond
 	runners := runnersAt(make([]int64, n)...)
-	released := []time.Duration{0}
+	desiredSince := []time.Duration{0}
 	ends := map[string]time.Duration{}
 	in := Input{Model: "m", Runners: runners, LongRuns: map[string]int{}, MaxConcurrent: new(forecast.WeightLoads).MaxConcurrent(n), MaxStaleness: maxStaleness, OrderDuration: orderDuration}
 	for i, l := range longRuns {
 		in.LongRuns[runners[i].ID] = l
 	}
 	for now := time.Duration(0); now < time.Minute; now += step {
-		if now-released[len(released)-1] >= interval {
-			released = append(released, now)
+		if now-desiredSince[len(desiredSince)-1] >= interval {
+			desiredSince = append(desiredSince, now)
 		}
-		in.Desired = int64(len(released))
+		in.Desired = int64(len(desiredSince))
 		in.StaleFor, in.InProgress = map[string]time.Duration{}, map[string]time.Duration{}
 		for _, r := range runners {
 			if end, ok := ends[r.ID]; ok && now >= end {
@@ -150,7 +150,7 @@
 				in.InProgress[r.ID] = orderDuration - (end - now)
 			}
 			if at := r.Weights["m"]; at < in.Desired {
-				in.StaleFor[r.ID] = now - released[at]
+				in.StaleFor[r.ID] = now - desiredSince[at]
 			}
 			if _, ok := ends[r.ID]; !ok && in.StaleFor[r.ID] > maxStaleness {
 				t.Fatalf("%s has weights %d at %v, stale for %v, and no order", r.ID, r.Weights["m"], now, in.StaleFor[r.ID])
--- a/rollout/waiting.go
+++ b/rollout/waiting.go
@@ -35,10 +35,10 @@
 	logged, current map[staleRunner]WaitReason
 }
 
-// staleRunner identifies an incarnation of a runner with stale weights of a model.
+// staleRunner identifies an instance of a runner with stale weights of a model.
 type staleRunner struct {
-	life  fleet.Instance
-	model string
+	instance fleet.Instance
+	model    string
 }
 
 func newWaitReporter(m *Metrics, log logrus.FieldLogger) waitReporter {
