--- a/rollout/controller_test.go
+++ b/rollout/controller_test.go
@@ -63,13 +63,13 @@
 
 // updateOne updates one runner with the given requests in progress to weights 2 and
 // returns the order that it got.
-func updateOne(t *testing.T, stays ...fleet.RequestLoad) fleet.Order {
+func updateOne(t *testing.T, loads ...fleet.RequestLoad) fleet.Order {
 	t.Helper()
 	f := fleet.New("z")
 	r := fleet.Target{ID: "r", Service: "lm", Address: "r:1", Slots: 8, Weights: map[string]int64{"m": 1}}
 	f.Put(r)
-	for _, s := range stays {
-		f.Begin(r.Instance(), s, time.Now())
+	for _, load := range loads {
+		f.Begin(r.Instance(), load, time.Now())
 	}
 	client := &recordingClient{}
 	c := NewController("n", Config{Leadership: alwaysLeader{}, Client: client, Fleet: f, Notify: func() {}}, discardLogger())
@@ -83,21 +83,21 @@
 // Truncating a run that cannot be resumed elsewhere loses its answer; leaving resumable
 // long runs to end keeps a runner nearly idle for seconds.
 func TestOnlyResumableRunsAreTruncated(t *testing.T) {
-	draft := fleet.RequestLoad{Long: true, Resumable: true}
+	longRun := fleet.RequestLoad{Long: true, Resumable: true}
 	for _, test := range []struct {
 		name  string
-		stays []fleet.RequestLoad
+		loads []fleet.RequestLoad
 		want  bool
 	}{
-		{"only resumable long runs", []fleet.RequestLoad{draft, draft}, true},
-		{"a long run beside one that is not resumable", []fleet.RequestLoad{draft, {}}, false},
+		{"only resumable long runs", []fleet.RequestLoad{longRun, longRun}, true},
+		{"a long run beside one that is not resumable", []fleet.RequestLoad{longRun, {}}, false},
 		{"a long run that is not resumable", []fleet.RequestLoad{{Long: true}}, false},
 		{"short runs", []fleet.RequestLoad{{Resumable: true}}, false},
 		{"nothing", nil, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			if got := updateOne(t, test.stays...).Truncate; got != test.want {
+			if got := updateOne(t, test.loads...).Truncate; got != test.want {
 				t.Errorf("truncate = %v, want %v", got, test.want)
 			}
 		})
--- a/rollout/leaderlock_test.go
+++ b/rollout/leaderlock_test.go
@@ -25,7 +25,7 @@
 	writes    int
 }
 
-var errNoResponse = errors.New("answer lost")
+var errNoResponse = errors.New("response lost")
 
 func (m *memoryStore) Grant(context.Context, time.Duration) (store.LeaseID, error) { return "7", nil }
 func (m *memoryStore) Renew(context.Context, store.LeaseID) error                  { return nil }
