--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -9,8 +9,8 @@
 
 var start = time.Unix(1000, 0)
 
-// Entries that all fail at once must not double the load: over many requests
-// the retries stay near their share.
+// When all requests of an entry fail, the retries must stay close to their share of the
+// requests instead of doubling the load.
 func TestBudgetBoundsRetries(t *testing.T) {
 	b := NewBudget(0.1, 0, start)
 	retries := 0
@@ -20,8 +20,8 @@
 			retries++
 		}
 	}
-	if retries < 100 || retries > 100+maxBalance {
-		t.Errorf("%d retries for 1000 requests", retries)
+	if retries < 100 || retries > 100+defaultBurst {
+		t.Errorf("%d retries for 1000 requests, want 100 to 100+defaultBurst", retries)
 	}
 }
 
@@ -42,18 +42,17 @@
 		{"too many sends", &notRun, true, MaxAttempts, false},
 		{"a final refusal", refusal.New(refusal.DeadlineUnmet, "", ""), true, 1, false},
 		{"a full queue", refusal.New(refusal.QueueFull, "", ""), true, 1, false},
-		{"key in use elsewhere", refusal.NewUnknown(""), false, 1, false},
+		{"outcome unknown", refusal.NewUnknown(""), false, 1, false},
 	} {
 		if got := Allowed(test.refused, test.idempotent, test.sends); got != test.want {
-			t.Errorf("%s: %v", test.name, got)
+			t.Errorf("%s: allowed = %v", test.name, got)
 		}
 	}
 }
 
-// Twenty processes share a bound of 82 retries beyond a fifth of the requests in
-// any ten seconds. A rollout makes all of them retry at once after a quiet time:
-// the platform counted 651 where 624 were allowed, since each had saved up 20.
-func TestSharedBudgetHoldsInABurst(t *testing.T) {
+// Twenty processes with 20 accumulated retries each retried at once after a quiet
+// period: they sent 651 where their shared limit allowed 624.
+func TestSharedBudgetInBurst(t *testing.T) {
 	const (
 		processes = 20
 		extra     = 82.0
@@ -74,6 +73,6 @@
 		}
 	}
 	if allowed := 0.2*processes*each + extra; float64(sent) > allowed {
-		t.Errorf("%d retries, over %v", sent, allowed)
+		t.Errorf("%d retries, want at most %v", sent, allowed)
 	}
 }
--- /dev/null
+++ b/rollout/controller.go
@@ -0,0 +1,382 @@
+package rollout
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"acaciakeel/clock"
+	"acaciakeel/fleet"
+	"acaciakeel/policy"
+)
+
+// RunnerClient sends calls to runners.
+type RunnerClient interface {
+	// Report returns the state of a runner.
+	Report(ctx context.Context, of fleet.Target) (fleet.Status, error)
+	// Order sends a load order to its runner.
+	Order(ctx context.Context, o fleet.Order) (fleet.OrderResult, error)
+}
+
+// Leadership tells whether this process may send orders now, and with which fencing
+// token.
+type Leadership interface {
+	Held() (fence int64, ok bool)
+	// Remaining returns for how long the leadership lasts at least.
+	Remaining() time.Duration
+}
+
+// ServicesByModel returns the services that run each model.
+type ServicesByModel func() map[string][]string
+
+// Config configures a Controller.
+type Config struct {
+	Leadership Leadership
+	Client     RunnerClient
+	Fleet      *fleet.Fleet
+	Services   ServicesByModel
+	// Notify is called after a change that the other entries need at once: until they
+	// know of it, they send requests to a runner that refuses them.
+	Notify  func()
+	Metrics *Metrics
+	// MaxStaleness is how long after a newer version became desired a runner still gets
+	// requests.
+	MaxStaleness time.Duration
+}
+
+// Controller sends load orders to runners while this process is the leader.
+type Controller struct {
+	name         string
+	leadership   Leadership
+	client       RunnerClient
+	fleet        *fleet.Fleet
+	services     ServicesByModel
+	log          logrus.FieldLogger
+	wake         chan struct{}
+	notify       func()
+	waits        waitReporter
+	maxStaleness time.Duration
+
+	// truncationDisabled is set once the other entries no longer report to this process
+	// which requests they have at runners.
+	truncationDisabled atomic.Bool
+
+	mu sync.Mutex
+	// inProgress holds the orders that have not ended, by runner ID. When a runner
+	// restarts, the order of its earlier instance no longer counts; otherwise the
+	// restarted runner would never get an order.
+	inProgress map[string]activeOrder
+	// orderDuration is the smoothed time from planning an order to the end of the load;
+	// 0 until the first order has completed.
+	orderDuration time.Duration
+}
+
+// activeOrder is an order that has not ended: the instance of its runner, and when the
+// order was planned.
+type activeOrder struct {
+	instance fleet.Instance
+	since    time.Time
+}
+
+// NewController returns a controller. name is the name of the VM and is sent with each
+// order.
+func NewController(name string, cfg Config, log logrus.FieldLogger) *Controller {
+	return &Controller{
+		name: name, leadership: cfg.Leadership, client: cfg.Client, fleet: cfg.Fleet, services: cfg.Services, notify: cfg.Notify, maxStaleness: cfg.MaxStaleness, log: log,
+		wake: make(chan struct{}, 1), waits: newWaitReporter(cfg.Metrics, log), inProgress: map[string]activeOrder{},
+	}
+}
+
+// DisableTruncation makes runners finish their streams before they load weights. It is
+// called when the other entries no longer report their streams to this process: streams
+// that cannot be resumed elsewhere would be cut off.
+func (c *Controller) DisableTruncation() {
+	c.truncationDisabled.Store(true)
+}
+
+// Wake triggers a reconciliation without waiting for the interval.
+func (c *Controller) Wake() {
+	select {
+	case c.wake <- struct{}{}:
+	default:
+	}
+}
+
+// reconcileInterval is how often the controller checks for stale runners of which it
+// was not notified, such as one that came back after an outage.
+const reconcileInterval = 300 * time.Millisecond
+
+// Run sends orders until ctx ends.
+func (c *Controller) Run(ctx context.Context) {
+	ticker := time.NewTicker(reconcileInterval)
+	defer ticker.Stop()
+	for {
+		if _, ok := c.leadership.Held(); ok {
+			c.reconcile(ctx)
+		} else {
+			c.waits.reset()
+		}
+		select {
+		case <-c.wake:
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+func (c *Controller) reconcile(ctx context.Context) {
+	services := c.services()
+	c.waits.beginPass()
+	for model, desired := range c.fleet.DesiredVersions() {
+		var runners []fleet.Target
+		for _, service := range services[model] {
+			runners = append(runners, c.fleet.Targets(service)...)
+		}
+		in := c.planInput(model, desired, runners)
+		decisions := Plan(in)
+		c.waits.record(in, decisions)
+		for _, decision := range decisions {
+			if decision.WaitReason == None {
+				c.startOrder(ctx, decision, model, desired)
+			}
+		}
+	}
+	c.waits.endPass()
+}
+
+func (c *Controller) planInput(model string, desired int64, runners []fleet.Target) Input {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	in := Input{
+		Model:      model,
+		Desired:    desired,
+		Runners:    runners,
+		InProgress: map[string]time.Duration{},
+		Inflight:   map[string]int{},
+		LongRuns:   map[string]int{},
+		StaleFor:   map[string]time.Duration{},
+	}
+	now := time.Now()
+	for id, u := range c.inProgress {
+		if c.fleet.IsCurrent(u.instance) {
+			in.InProgress[id] = now.Sub(u.since)
+		}
+	}
+	if len(runners) > 0 {
+		loads := c.fleet.WeightLoads(runners[0].Service)
+		in.MaxConcurrent = loads.MaxConcurrent(len(runners))
+		in.MaxStaleness, in.OrderDuration = c.maxStaleness, cmp.Or(c.orderDuration, loads.OrderDuration())
+	}
+	for _, r := range runners {
+		load := c.fleet.Occupancy(r.Instance())
+		in.Inflight[r.ID], in.LongRuns[r.ID] = load.Inflight, load.Long
+		in.StaleFor[r.ID] = c.fleet.StaleFor(model, r.Weights[model], now)
+	}
+	return in
+}
+
+func (c *Controller) startOrder(ctx context.Context, decision Decision, model string, desired int64) {
+	r := decision.Runner
+	c.mu.Lock()
+	c.inProgress[r.ID] = activeOrder{instance: r.Instance(), since: time.Now()}
+	c.mu.Unlock()
+	go func() {
+		c.updateRunner(ctx, decision, model, desired)
+		c.mu.Lock()
+		if c.inProgress[r.ID].instance == r.Instance() {
+			delete(c.inProgress, r.ID)
+		}
+		c.mu.Unlock()
+		c.Wake()
+	}()
+}
+
+// Timing of one runner's update.
+const (
+	// firstPollDelay is the time from sending an order to the first poll of the runner:
+	// the shortest load. pollInterval is the pause between polls.
+	firstPollDelay = 450 * time.Millisecond
+	pollInterval   = 150 * time.Millisecond
+	// orderTimeout is the time after which an order is considered lost.
+	orderTimeout = 6 * time.Second
+	// busyDuration is how long new requests are kept away from a runner each time that
+	// it is marked busy.
+	busyDuration = 700 * time.Millisecond
+)
+
+// updateRunner brings one runner to the desired weights. If that fails, it returns, and
+// the next reconciliation plans again.
+func (c *Controller) updateRunner(ctx context.Context, decision Decision, model string, desired int64) {
+	r, start := decision.Runner, time.Now()
+	truncate := c.clear(ctx, decision)
+	drainTime, remaining := time.Since(start), c.fleet.Occupancy(r.Instance())
+	report, err := c.client.Report(ctx, r)
+	if errors.Is(err, fleet.ErrTargetReplaced) {
+		c.fleet.RecordEnd(r.Instance())
+	}
+	if err != nil {
+		c.logEvent("report_failed", r, model, desired).WithError(err).Warn("failed to get the state of the runner; retrying")
+		clock.Sleep(ctx, pollInterval)
+		return
+	}
+	if !c.checkInstance(r, report) {
+		c.logEvent("report_other_life", r, model, desired).WithField("reported", report.Born).Warn("report is of another instance of the runner; planning again")
+		clock.Sleep(ctx, pollInterval)
+		return
+	}
+	if report.Born != 0 {
+		r.Born = report.Born
+	}
+	c.fleet.RecordWeights(r.Instance(), model, report.Weights[model], time.Now())
+	if report.Weights[model] >= desired {
+		return
+	}
+	if report.Busy {
+		clock.Sleep(ctx, pollInterval)
+		return
+	}
+	// Leadership is checked immediately before the order is sent: a process that was
+	// suspended in the meantime must not send orders after another one has taken over.
+	fence, ok := c.leadership.Held()
+	if !ok {
+		return
+	}
+	// A restarted runner counts its orders from zero. With the count of the earlier
+	// instance, it could carry out an order that was not meant for it, or refuse a
+	// newer one.
+	if !c.fleet.IsCurrent(r.Instance()) {
+		return
+	}
+	result, err := c.sendOrder(ctx, fleet.Order{Target: r, Model: model, WeightsVersion: desired, Holder: c.name, Fence: fence, ExpectedOrders: report.AcceptedOrders, Truncate: truncate})
+	c.logEvent("order", r, model, desired).WithFields(logrus.Fields{"result": result, "fence": fence, "orders": report.AcceptedOrders, "truncate": truncate, "cleared_ms": drainTime.Milliseconds(), "inflight": remaining.Inflight, "resumable": remaining.Resumable, "long": remaining.Long}).WithError(err).Info("load order sent")
+	switch result {
+	case fleet.OrderAlreadyLoaded:
+		c.fleet.RecordWeights(r.Instance(), model, desired, time.Now())
+	case fleet.OrderMisdirected:
+		// Another runner answers at this address, so this one has ended even if it is
+		// still listed.
+		c.fleet.RecordEnd(r.Instance())
+	case fleet.OrderAccepted:
+		if c.awaitLoad(ctx, r, model, desired) {
+			c.recordDuration(time.Since(start))
+		}
+	default:
+		clock.Sleep(ctx, pollInterval)
+	}
+}
+
+// Timing of the truncation of long runs.
+const (
+	// drainCheckInterval is how long a runner is kept free of new requests between
+	// checks whether only resumable runs are left. In that time the other entries learn
+	// of it and short runs end.
+	drainCheckInterval = 300 * time.Millisecond
+	// drainChecks is the number of checks before the runs are left to end on their own.
+	drainChecks = 4
+	// urgentDrainChecks is the number of checks for an urgent runner. Runs that cannot
+	// be resumed elsewhere are mostly short and end within 3.6 s, whereas waiting for
+	// the long runs to end takes longer than that.
+	urgentDrainChecks = 12
+)
+
+// clear keeps new requests away from a runner with long runs until only resumable runs
+// are left, and reports whether these may be truncated. A truncated run is resumed on
+// another runner after its last event. If they are left to end, the last few long runs
+// keep a runner of 40 or 60 slots out of service for four to six seconds.
+func (c *Controller) clear(ctx context.Context, decision Decision) bool {
+	r, checks := decision.Runner, drainChecks
+	if decision.Urgent {
+		checks = urgentDrainChecks
+	}
+	if c.fleet.Occupancy(r.Instance()).Long == 0 || c.truncationDisabled.Load() || c.fleet.Disabled(policy.Truncation) {
+		return false
+	}
+	for range checks {
+		c.fleet.RecordBusy(r.Instance(), time.Now().Add(busyDuration))
+		c.notify()
+		clock.Sleep(ctx, drainCheckInterval)
+		if load := c.fleet.Occupancy(r.Instance()); load.Inflight == load.Resumable {
+			return load.Inflight > 0
+		}
+	}
+	return false
+}
+
+// sendOrder sends an order within the remaining time of the leadership. An order that
+// is delayed by a slow link or connection setup must not arrive while the next leader
+// sends its own.
+func (c *Controller) sendOrder(ctx context.Context, o fleet.Order) (fleet.OrderResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.leadership.Remaining())
+	defer cancel()
+	return c.client.Order(ctx, o)
+}
+
+// durationSmoothing is the weight of one order in the moving average, so that about the
+// last ten orders determine the estimate.
+const durationSmoothing = 0.1
+
+func (c *Controller) recordDuration(d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.orderDuration == 0 {
+		c.orderDuration = d
+	}
+	c.orderDuration += time.Duration(durationSmoothing * float64(d-c.orderDuration))
+}
+
+// awaitLoad polls a runner until its order has ended, and reports whether the runner
+// has loaded the weights.
+func (c *Controller) awaitLoad(ctx context.Context, r fleet.Target, model string, desired int64) bool {
+	start := time.Now()
+	c.fleet.RecordBusy(r.Instance(), start.Add(busyDuration))
+	c.notify()
+	clock.Sleep(ctx, firstPollDelay)
+	for ctx.Err() == nil && time.Since(start) < orderTimeout && c.fleet.Available(r.Instance()) {
+		report, err := c.client.Report(ctx, r)
+		if err == nil && !c.checkInstance(r, report) {
+			// The order ended with the instance that accepted it. A load by the
+			// later one says nothing about the duration of this order.
+			return false
+		}
+		if err == nil && report.Weights[model] >= desired {
+			c.fleet.RecordWeights(r.Instance(), model, desired, time.Now())
+			c.notify()
+			c.fleet.RecordWeightLoad(r.Service, time.Since(start))
+			c.logEvent("loaded", r, model, desired).WithField("took_ms", time.Since(start).Milliseconds()).Info("runner has loaded the weights")
+			return true
+		}
+		if err == nil && !report.Busy {
+			return false
+		}
+		c.fleet.RecordBusy(r.Instance(), time.Now().Add(busyDuration))
+		clock.Sleep(ctx, pollInterval)
+	}
+	return false
+}
+
+// checkInstance reports whether a report is of the expected instance of a runner. A
+// report of a later instance ends the expected one, and its versions are recorded; a
+// report of an earlier one is ignored.
+func (c *Controller) checkInstance(r fleet.Target, report fleet.Status) bool {
+	instance := fleet.Instance{ID: r.ID, Born: report.Born}
+	if !c.fleet.Observe(instance) {
+		return false
+	}
+	if instance.Matches(r.Instance()) {
+		return true
+	}
+	for model, version := range report.Weights {
+		c.fleet.RecordWeights(instance, model, version, time.Now())
+	}
+	return false
+}
+
+func (c *Controller) logEvent(name string, r fleet.Target, model string, desired int64) *logrus.Entry {
+	return c.log.WithFields(logrus.Fields{"event": name, "runner": r.ID, "born": r.Born, "model": model, "weights": desired})
+}
--- a/rollout/deadline.go
+++ b/rollout/deadline.go
@@ -8,26 +8,27 @@
 	"acaciakeel/fleet"
 )
 
-// deadlines is an input with the runners whose time is short: those that have less than
-// the orders that are due no later take, as many at once as usual.
+// deadlines is the input of a plan with the runners that may not get their order in
+// time at the usual concurrency.
 type deadlines struct {
 	Input
-	short map[string]bool
+	urgent map[string]bool
 }
 
-func (in Input) deadlines(behind []fleet.Target) deadlines {
+func (in Input) deadlines(stale []fleet.Target) deadlines {
 	d := deadlines{in, map[string]bool{}}
-	if in.Bound <= 0 {
+	if in.MaxStaleness <= 0 {
 		return d
 	}
-	byTime := slices.SortedFunc(slices.Values(behind), func(a, b fleet.Target) int { return cmp.Compare(d.left(a), d.left(b)) })
-	for i := len(byTime) - 1; i >= 0; i-- {
-		rounds := i/max(1, in.AtOnce) + 1
-		left := d.left(byTime[i])
-		if left < time.Duration(rounds)*in.Each {
-			// All that are due no later are short of time, too.
-			for _, r := range byTime[:i+1] {
-				d.short[r.ID] = true
+	byTimeLeft := slices.SortedFunc(slices.Values(stale), func(a, b fleet.Target) int { return cmp.Compare(d.timeLeft(a), d.timeLeft(b)) })
+	for i := len(byTimeLeft) - 1; i >= 0; i-- {
+		batches := i/max(1, in.MaxConcurrent) + 1
+		left := d.timeLeft(byTimeLeft[i])
+		if left < time.Duration(batches)*in.OrderDuration {
+			// The runners that are due no later delay this one, so all of them are
+			// urgent.
+			for _, r := range byTimeLeft[:i+1] {
+				d.urgent[r.ID] = true
 			}
 			break
 		}
@@ -35,27 +36,30 @@
 	return d
 }
 
-// left returns the time in which a runner gets requests yet.
-func (d deadlines) left(r fleet.Target) time.Duration {
-	return d.Bound - d.Behind[r.ID]
+// timeLeft returns for how long a runner still gets requests.
+func (d deadlines) timeLeft(r fleet.Target) time.Duration {
+	return d.MaxStaleness - d.StaleFor[r.ID]
 }
 
-// holdsBack reports whether a runner gets no requests any more and has some that may
-// still wait for their slot: an order refuses these unrun, so that they go elsewhere
-// before the bound, and its load begins only when the runs have ended.
-func (d deadlines) holdsBack(r fleet.Target) bool {
-	return d.Bound > 0 && d.left(r) <= 0 && d.Inflight[r.ID] > 0
+// bypassesLimit reports whether a runner gets its order regardless of the concurrency
+// limit. Its deadline has passed, so it gets no new requests, but some requests may
+// still wait there for a slot. An order makes the runner refuse those without running
+// them, so that they are sent elsewhere before the bound on stale weights; the load
+// begins only when the running requests have ended.
+func (d deadlines) bypassesLimit(r fleet.Target) bool {
+	return d.MaxStaleness > 0 && d.timeLeft(r) <= 0 && d.Inflight[r.ID] > 0
 }
 
-// places returns how many orders may be under way, so that each of those due, in their
-// order, has its order ended in time; half of the runners stay in service.
-func (d deadlines) places(due []fleet.Target) int {
-	places := d.AtOnce
+// concurrency returns how many orders may be in progress so that each due runner, in
+// this order, completes its order in time. Above MaxConcurrent, at least half of the
+// runners stay in service.
+func (d deadlines) concurrency(due []fleet.Target) int {
+	limit := d.MaxConcurrent
 	for i, r := range due {
-		if left := d.left(r); d.short[r.ID] && left > 0 {
-			needed := time.Duration(i+1)*d.Each/left + 1
-			places = max(places, int(needed))
+		if left := d.timeLeft(r); d.urgent[r.ID] && left > 0 {
+			needed := time.Duration(i+1)*d.OrderDuration/left + 1
+			limit = max(limit, int(needed))
 		}
 	}
-	return max(d.AtOnce, min(places, len(d.Runners)/2))
+	return max(d.MaxConcurrent, min(limit, len(d.Runners)/2))
 }
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -1,6 +1,7 @@
-// Package rollout brings the runners of a model to the weights that the
-// operators name: plan.go decides, purely, which runners get an order next;
-// holder.go is the one process at a time that gives them.
+// Package rollout brings the runners of a model to the version of the weights that the
+// operators set. Plan decides, without side effects, which runners get a load order
+// next; a Controller in one process at a time, the holder of the LeaderLock, sends the
+// orders.
 package rollout
 
 import (
@@ -11,89 +12,92 @@
 	"acaciakeel/fleet"
 )
 
-// Input is what the plan rests on.
+// Input is the state on which a plan is based.
 type Input struct {
 	Model   string
 	Desired int64
 	Runners []fleet.Target
-	// Underway is for how long the orders that have not ended have been given, by id.
-	Underway map[string]time.Duration
-	// Inflight is how many requests each runner works on, by id, and Long those
-	// of them that take seconds.
+	// InProgress is how long ago each order that has not ended was planned, by runner
+	// ID.
+	InProgress map[string]time.Duration
+	// Inflight is the number of requests at each runner, and LongRuns the number of
+	// those that take seconds, by runner ID.
 	Inflight map[string]int
-	Long     map[string]int
-	// Behind is for how long each runner has been behind, by id.
-	Behind map[string]time.Duration
-	// AtOnce is the most orders under way, unless the time that is left asks for more.
-	AtOnce int
-	// Bound is for how long after newer weights were named a runner gets requests, 0
-	// where nothing bounds it, and Each what an order takes.
-	Bound time.Duration
-	Each  time.Duration
+	LongRuns map[string]int
+	// StaleFor is how long a newer version than the runner's has been desired, by
+	// runner ID.
+	StaleFor map[string]time.Duration
+	// MaxConcurrent is the maximum number of orders in progress; more are allowed if
+	// deadlines would be missed otherwise.
+	MaxConcurrent int
+	// MaxStaleness is how long after a newer version became desired a runner still gets
+	// requests; 0 means no bound. OrderDuration is the expected duration of an order.
+	MaxStaleness  time.Duration
+	OrderDuration time.Duration
 }
 
-// longPatience is how long runners with long runs are left to end them before
-// their order: no new ones go there meanwhile. The runs that remain then end
-// well within the bound on the whole rollout.
-const longPatience = 3 * time.Second
+// longRunGrace is how long runners with long runs may finish them before their order;
+// they get no new long runs in that time. The runs that remain then end well within the
+// bound on the whole rollout.
+const longRunGrace = 3 * time.Second
 
-// Reason is why a runner that is behind gets no order at a look.
-type Reason string
+// WaitReason is why a stale runner gets no order at present.
+type WaitReason string
 
-// The reasons; None is that of a runner that gets its order now.
+// The reasons to wait. None means that the runner gets its order now.
 const (
-	None Reason = ""
-	// Leaving: it ends soon.
-	Leaving Reason = "leaving"
-	// Underway: its order has not ended.
-	Underway Reason = "underway"
-	// LongRuns: it has long runs that are left to end for a while.
-	LongRuns Reason = "long_runs"
-	// NoPlace: as many orders are under way as may be.
-	NoPlace Reason = "no_place"
+	None WaitReason = ""
+	// Draining: the runner will stop soon.
+	Draining WaitReason = "leaving"
+	// OrderInProgress: the runner's order has not ended.
+	OrderInProgress WaitReason = "underway"
+	// LongRuns: the runner has long runs and is given time to finish them.
+	LongRuns WaitReason = "long_runs"
+	// ConcurrencyLimit: the maximum number of orders is in progress.
+	ConcurrencyLimit WaitReason = "no_place"
 )
 
-// Reasons are all reasons for which a runner that is behind waits.
-var Reasons = []Reason{Leaving, Underway, LongRuns, NoPlace}
+// WaitReasons lists the reasons for which a stale runner waits.
+var WaitReasons = []WaitReason{Draining, OrderInProgress, LongRuns, ConcurrencyLimit}
 
-// Turn is what becomes of a runner that is behind.
-type Turn struct {
-	Runner fleet.Target
-	Wait   Reason
-	// Short is set where its time is short.
-	Short bool
+// Decision is the plan for one stale runner.
+type Decision struct {
+	Runner     fleet.Target
+	WaitReason WaitReason
+	// Urgent is set if the runner's deadline would be missed at the usual concurrency.
+	Urgent bool
 }
 
-// Turns returns what becomes of each runner that is behind. Those whose time is short
-// get their order first, by their time: passed over for idler ones at each naming, they
-// would come to their bound one after the other and stand idle until their turn. Of the
-// others those without long runs come first, as they are the soonest done, then those
-// with the oldest weights and the idlest.
-func Turns(in Input) []Turn {
-	var turns []Turn
-	behind := in.behind()
-	d := in.deadlines(behind)
+// Plan returns a decision for each stale runner. Urgent runners get their order first,
+// by remaining time: if idler ones went first after every new version, the urgent ones
+// would reach their bound one after the other and stay idle until their turn. Of the
+// others, runners without long runs come first because they finish soonest, then those
+// with the oldest weights, then those with the fewest requests.
+func Plan(in Input) []Decision {
+	var decisions []Decision
+	stale := in.stale()
+	d := in.deadlines(stale)
 	var due []fleet.Target
-	for _, r := range behind {
-		if wait := d.wait(r); wait != None {
-			turns = append(turns, Turn{Runner: r, Wait: wait})
+	for _, r := range stale {
+		if wait := d.waitReason(r); wait != None {
+			decisions = append(decisions, Decision{Runner: r, WaitReason: wait})
 		} else {
 			due = append(due, r)
 		}
 	}
 	slices.SortFunc(due, d.compare)
-	room := d.places(due) - len(in.Underway)
+	free := d.concurrency(due) - len(in.InProgress)
 	for i, r := range due {
-		t := Turn{Runner: r, Short: d.short[r.ID]}
-		if i >= room && !d.holdsBack(r) {
-			t.Wait = NoPlace
+		decision := Decision{Runner: r, Urgent: d.urgent[r.ID]}
+		if i >= free && !d.bypassesLimit(r) {
+			decision.WaitReason = ConcurrencyLimit
 		}
-		turns = append(turns, t)
+		decisions = append(decisions, decision)
 	}
-	return turns
+	return decisions
 }
 
-func (in Input) behind() []fleet.Target {
+func (in Input) stale() []fleet.Target {
 	var out []fleet.Target
 	for _, r := range in.Runners {
 		if r.Weights[in.Model] < in.Desired {
@@ -103,32 +107,32 @@
 	return out
 }
 
-// wait returns why a runner that is behind is not due.
-func (d deadlines) wait(r fleet.Target) Reason {
-	_, underway := d.Underway[r.ID]
+// waitReason returns why a stale runner is not due.
+func (d deadlines) waitReason(r fleet.Target) WaitReason {
+	_, underway := d.InProgress[r.ID]
 	switch {
 	case r.Draining:
-		return Leaving
+		return Draining
 	case underway:
-		return Underway
-	case d.Long[r.ID] > 0 && d.Behind[r.ID] <= longPatience && !d.short[r.ID]:
+		return OrderInProgress
+	case d.LongRuns[r.ID] > 0 && d.StaleFor[r.ID] <= longRunGrace && !d.urgent[r.ID]:
 		return LongRuns
 	}
 	return None
 }
 
 func (d deadlines) compare(a, b fleet.Target) int {
-	if d.short[a.ID] || d.short[b.ID] {
+	if d.urgent[a.ID] || d.urgent[b.ID] {
 		return cmp.Or(
-			cmp.Compare(d.left(a), d.left(b)),
-			d.compareIdle(a, b))
+			cmp.Compare(d.timeLeft(a), d.timeLeft(b)),
+			d.compareLoad(a, b))
 	}
-	return d.compareIdle(a, b)
+	return d.compareLoad(a, b)
 }
 
-func (d deadlines) compareIdle(a, b fleet.Target) int {
+func (d deadlines) compareLoad(a, b fleet.Target) int {
 	return cmp.Or(
-		cmp.Compare(d.Long[a.ID], d.Long[b.ID]),
+		cmp.Compare(d.LongRuns[a.ID], d.LongRuns[b.ID]),
 		cmp.Compare(a.Weights[d.Model], b.Weights[d.Model]),
 		cmp.Compare(d.Inflight[a.ID], d.Inflight[b.ID]),
 		cmp.Compare(a.ID, b.ID))
