--- a/cache/view.go
+++ b/cache/view.go
@@ -28,17 +28,17 @@
 	Blocks []Block
 }
 
-// Verdict says what an event did to the view.
-type Verdict string
+// ApplyResult says what an event did to the view.
+type ApplyResult string
 
 // The verdicts on an event.
 const (
-	Applied   Verdict = "applied"
-	Duplicate Verdict = "duplicate"
+	Applied   ApplyResult = "applied"
+	Duplicate ApplyResult = "duplicate"
 	// Gap: events before this one were lost, so older entries may be gone.
-	Gap Verdict = "gap"
+	Gap ApplyResult = "gap"
 	// Rebooted: the engine came back empty.
-	Rebooted Verdict = "rebooted"
+	Rebooted ApplyResult = "rebooted"
 )
 
 // entry is one block of the view. Epoch is the view's epoch when the block
@@ -60,7 +60,7 @@
 	// confirms them.
 	epoch  uint32
 	blocks map[uint64]entry
-	doubt  bool
+	gaps   bool
 	// now is the caller's clock, in milliseconds, and lifetime the mean time
 	// from a block's last use to its eviction; 0 while nothing is evicted.
 	now      uint32
@@ -83,16 +83,16 @@
 
 // Touch marks the chain up to hash as in use now.
 func (v *View) Touch(root, hash uint64) {
-	v.update(root, hash, func(e *entry) bool {
+	v.updateChain(root, hash, func(e *entry) bool {
 		done := e.used == v.now
 		e.used = v.now
 		return done
 	})
 }
 
-// update changes the entries of the chain from hash back to root, until change
+// updateChain changes the entries of the chain from hash back to root, until change
 // reports one that had been changed already, as those before it then have.
-func (v *View) update(root, hash uint64, change func(e *entry) (done bool)) {
+func (v *View) updateChain(root, hash uint64, change func(e *entry) (done bool)) {
 	for hash != root {
 		e, ok := v.blocks[hash]
 		if !ok || change(&e) {
@@ -125,7 +125,7 @@
 
 // HasGaps reports whether events were lost since the last dump.
 func (v *View) HasGaps() bool {
-	return v.doubt
+	return v.gaps
 }
 
 // ResetOnBoot empties the view when the engine has another boot than the view's. A
@@ -137,18 +137,18 @@
 	v.bootID = bootID
 	v.seq = 0
 	v.epoch = 0
-	v.doubt = false
+	v.gaps = false
 	v.lifetime = 0
 	v.blocks = map[uint64]entry{}
 	return true
 }
 
 // Apply takes one event.
-func (v *View) Apply(e Event) Verdict {
+func (v *View) Apply(e Event) ApplyResult {
 	if v.ResetOnBoot(e.BootID) {
-		v.take(e)
+		v.applyEvent(e)
 		// The first events of the boot may have been missed.
-		v.doubt = e.Seq > 1
+		v.gaps = e.Seq > 1
 		return Rebooted
 	}
 	if e.Seq <= v.seq {
@@ -156,15 +156,15 @@
 	}
 	if e.Seq > v.seq+1 {
 		v.epoch++
-		v.doubt = true
-		v.take(e)
+		v.gaps = true
+		v.applyEvent(e)
 		return Gap
 	}
-	v.take(e)
+	v.applyEvent(e)
 	return Applied
 }
 
-func (v *View) take(e Event) {
+func (v *View) applyEvent(e Event) {
 	v.seq = e.Seq
 	for _, hash := range e.Removed {
 		v.evict(hash)
@@ -182,11 +182,11 @@
 		return
 	}
 	delete(v.blocks, hash)
-	lasted := float64(v.now - e.used)
+	lifetime := float64(v.now - e.used)
 	if v.lifetime == 0 {
-		v.lifetime = lasted
+		v.lifetime = lifetime
 	}
-	v.lifetime += lifetimeWeight * (lasted - v.lifetime)
+	v.lifetime += lifetimeWeight * (lifetime - v.lifetime)
 }
 
 // Resync replaces the view by a dump. A dump older than the view is ignored.
@@ -196,7 +196,7 @@
 		return false
 	}
 	v.seq = d.Seq
-	v.doubt = false
+	v.gaps = false
 	old := v.blocks
 	v.blocks = make(map[uint64]entry, len(d.Blocks))
 	for _, b := range d.Blocks {
@@ -228,7 +228,7 @@
 // Confirm marks the chain up to hash as cached now, because the engine has
 // just said in an answer that it used it.
 func (v *View) Confirm(root, hash uint64) {
-	v.update(root, hash, func(e *entry) bool {
+	v.updateChain(root, hash, func(e *entry) bool {
 		done := e.epoch == v.epoch
 		e.epoch = v.epoch
 		return done
--- a/cache/view_test.go
+++ b/cache/view_test.go
@@ -68,7 +68,7 @@
 // event of it is lost or late, an entry asks. The cause would be a view that
 // claims what a lost event may have removed. Events are lost, sent twice and
 // overtaken by dumps and new boots here; what is claimed must be there.
-func TestViewClaimsOnlyWhatIsThere(t *testing.T) {
+func TestViewClaimsOnlyCachedBlocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{boot: "a", blocks: map[uint64]uint64{}}
 		v := NewView()
@@ -110,11 +110,11 @@
 	}
 }
 
-func TestViewVerdicts(t *testing.T) {
+func TestApplyResults(t *testing.T) {
 	v := NewView()
 	steps := []struct {
 		event Event
-		want  Verdict
+		want  ApplyResult
 	}{
 		{Event{BootID: "a", Seq: 1, Parent: root, Stored: []uint64{1, 2}}, Rebooted},
 		{Event{BootID: "a", Seq: 2, Parent: 2, Stored: []uint64{3}}, Applied},
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -40,24 +40,24 @@
 // Follower follows the keys below a prefix. Its methods may be called by several
 // goroutines.
 type Follower struct {
-	store  store.Store
-	prefix string
-	timing Options
-	target Handler
-	log    logrus.FieldLogger
-	listed atomic.Bool
-	// checked is a moment up to which the view is known to be complete.
-	checked atomic.Int64
-	// lostAt is when the store was first not reached, 0 while it is; back is
+	store   store.Store
+	prefix  string
+	options Options
+	handler Handler
+	log     logrus.FieldLogger
+	listed  atomic.Bool
+	// confirmedAt is a moment up to which the view is known to be complete.
+	confirmedAt atomic.Int64
+	// unreachableSince is when the store was first not reached, 0 while it is; back is
 	// when it last came back.
-	lostAt atomic.Int64
-	back   atomic.Int64
-	shared
+	unreachableSince atomic.Int64
+	recoveredAt      atomic.Int64
+	sharedWatch
 }
 
 // New returns a follower that has not begun.
-func New(s store.Store, prefix string, t Options, target Handler, log logrus.FieldLogger) *Follower {
-	return &Follower{store: s, prefix: prefix, timing: t, target: target, log: log, shared: shared{woken: make(chan struct{}, 1)}}
+func New(s store.Store, prefix string, options Options, handler Handler, log logrus.FieldLogger) *Follower {
+	return &Follower{store: s, prefix: prefix, options: options, handler: handler, log: log, sharedWatch: sharedWatch{wakeup: make(chan struct{}, 1)}}
 }
 
 // Age returns how long ago the view was last known to be current, on a clock
@@ -66,52 +66,52 @@
 	if !f.listed.Load() {
 		return 0, false
 	}
-	return clock.BootTime(f.checked.Load()).Since(), true
+	return clock.BootTime(f.confirmedAt.Load()).Since(), true
 }
 
 // SinceRecovery returns how long ago the store came back after it could not be
 // reached; ok is false while it was always there or is away.
 func (f *Follower) SinceRecovery() (since time.Duration, ok bool) {
-	back := f.back.Load()
-	return clock.BootTime(back).Since(), back != 0 && f.lostAt.Load() == 0
+	recoveredAt := f.recoveredAt.Load()
+	return clock.BootTime(recoveredAt).Since(), recoveredAt != 0 && f.unreachableSince.Load() == 0
 }
 
 // Disconnected reports whether the store could not be reached at the last try.
 func (f *Follower) Disconnected() bool {
-	return f.lostAt.Load() != 0
+	return f.unreachableSince.Load() != 0
 }
 
 // Pauses after a call that failed: short at first, since most failures are one
 // lost connection, then bounded, since calls are counted and paid for.
 const (
-	firstPause = 50 * time.Millisecond
-	maxPause   = 400 * time.Millisecond
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 400 * time.Millisecond
 )
 
 // Run follows until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	pause := firstPause
+	backoff := initialBackoff
 	for ctx.Err() == nil {
-		rest, reason := f.rest()
-		if rest > 0 {
-			f.idle(ctx, rest)
+		idleFor, reason := f.untilWatch()
+		if idleFor > 0 {
+			f.wait(ctx, idleFor)
 			continue
 		}
 		var err error
-		if f.listed.Load() && !f.forgotten() {
-			f.count(reason)
+		if f.listed.Load() && !f.isCompacted() {
+			f.countWatch(reason)
 			err = f.watch(ctx)
 		} else {
 			err = f.list(ctx)
 		}
 		if err == nil {
-			pause = firstPause
-			f.reached()
+			backoff = initialBackoff
+			f.markReachable()
 			continue
 		}
-		f.missed(ctx, err)
-		f.idle(ctx, max(pause, f.leftToOthers()))
-		pause = min(2*pause, maxPause)
+		f.markUnreachable(ctx, err)
+		f.wait(ctx, max(backoff, f.peerRetryDelay()))
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
@@ -122,10 +122,10 @@
 		return err
 	}
 	f.mu.Lock()
-	f.target.Reset(listing.Entries, listing.Revision)
-	f.revision, f.lost = listing.Revision, false
+	f.handler.Reset(listing.Entries, listing.Revision)
+	f.revision, f.compacted = listing.Revision, false
 	f.mu.Unlock()
-	f.confirm(began)
+	f.confirmOwn(began)
 	f.listed.Store(true)
 	f.log.WithFields(logrus.Fields{"event": "listed", "revision": listing.Revision, "keys": len(listing.Entries)}).Info("the store was read whole")
 	return nil
@@ -133,44 +133,44 @@
 
 func (f *Follower) watch(ctx context.Context) error {
 	began := clock.Now()
-	after := f.at()
-	events, err := f.store.Watch(ctx, f.prefix, after, f.timing.WatchTimeout)
+	after := f.currentRevision()
+	events, err := f.store.Watch(ctx, f.prefix, after, f.options.WatchTimeout)
 	if err != nil {
 		return err
 	}
 	if events.Compacted {
-		f.forget()
+		f.markCompacted()
 		f.log.WithFields(logrus.Fields{"event": "history_lost", "revision": after}).Warn("the store dropped its history; listing again")
 		return nil
 	}
-	f.reached()
-	if len(events.Events) > 0 && f.told != nil {
+	f.markReachable()
+	if len(events.Events) > 0 && f.onChanges != nil {
 		// Told before the view has them: a confirmation with their revision must
 		// find them told already, or all who hear it would ask the store.
-		f.told(Changes{After: after, Events: events, SinceRecovery: f.sinceBack()})
+		f.onChanges(Changes{After: after, Events: events, SinceRecovery: f.sinceRecoveryOrZero()})
 	}
 	f.apply(events.Events, events.Revision)
 	// The answer says what was new after the call arrived, so the call's
 	// beginning is a moment up to which the view is complete.
-	f.confirm(began)
+	f.confirmOwn(began)
 	if len(events.Events) > 0 {
-		clock.Sleep(ctx, f.timing.BatchDelay)
+		clock.Sleep(ctx, f.options.BatchDelay)
 	}
 	return nil
 }
 
-func (f *Follower) reached() {
-	if f.lostAt.Swap(0) != 0 {
-		f.back.Store(int64(clock.Now()))
+func (f *Follower) markReachable() {
+	if f.unreachableSince.Swap(0) != 0 {
+		f.recoveredAt.Store(int64(clock.Now()))
 		f.log.WithField("event", "store_back").Info("the store answers again")
 	}
 }
 
-func (f *Follower) missed(ctx context.Context, err error) {
+func (f *Follower) markUnreachable(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	if f.lostAt.CompareAndSwap(0, int64(clock.Now())) {
+	if f.unreachableSince.CompareAndSwap(0, int64(clock.Now())) {
 		f.log.WithError(err).WithField("event", "store_lost").Warn("the store can't be reached; what is known serves on")
 	}
 }
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -14,9 +14,9 @@
 	"acaciakeel/store"
 )
 
-// script is a store whose answers are given one by one; once they are used up
+// scriptedStore is a store whose answers are given one by one; once they are used up
 // it blocks.
-type script struct {
+type scriptedStore struct {
 	store.Store
 	mu      sync.Mutex
 	answers []any
@@ -24,9 +24,9 @@
 	done    chan struct{}
 }
 
-var errCut = errors.New("connection cut")
+var errDisconnected = errors.New("connection cut")
 
-func (s *script) next(ctx context.Context, call string) (any, error) {
+func (s *scriptedStore) next(ctx context.Context, call string) (any, error) {
 	s.mu.Lock()
 	s.calls = append(s.calls, call)
 	if len(s.answers) == 0 {
@@ -42,37 +42,37 @@
 	return a, err
 }
 
-func (s *script) List(ctx context.Context, _ string) (store.Listing, error) {
+func (s *scriptedStore) List(ctx context.Context, _ string) (store.Listing, error) {
 	a, err := s.next(ctx, "list")
 	l, _ := a.(store.Listing)
 	return l, err
 }
 
-func (s *script) Watch(ctx context.Context, _ string, after int64, _ time.Duration) (store.Events, error) {
+func (s *scriptedStore) Watch(ctx context.Context, _ string, after int64, _ time.Duration) (store.Events, error) {
 	a, err := s.next(ctx, fmt.Sprintf("watch %d", after))
 	e, _ := a.(store.Events)
 	return e, err
 }
 
-// seen keeps the keys that a follower passed on.
-type seen struct{ log []string }
+// recorder keeps the keys that a follower passed on.
+type recorder struct{ log []string }
 
-func (s *seen) Reset(entries []store.Entry, revision int64) {
+func (s *recorder) Reset(entries []store.Entry, revision int64) {
 	s.log = append(s.log, fmt.Sprintf("reset %d at %d", len(entries), revision))
 }
 
-func (s *seen) Apply(events []store.Event) {
+func (s *recorder) Apply(events []store.Event) {
 	for _, e := range events {
 		s.log = append(s.log, fmt.Sprintf("%s deleted=%v", e.Key, e.Deleted))
 	}
 }
 
-func play(t *testing.T, answers ...any) (*script, *seen, *Follower) {
+func runScript(t *testing.T, answers ...any) (*scriptedStore, *recorder, *Follower) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := &script{answers: answers, done: make(chan struct{})}
-	target := &seen{}
+	s := &scriptedStore{answers: answers, done: make(chan struct{})}
+	target := &recorder{}
 	f := New(s, "", Options{WatchTimeout: time.Second}, target, log)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -83,18 +83,18 @@
 	return s, target, f
 }
 
-func change(key string, revision int64, deleted bool) store.Event {
+func changeEvent(key string, revision int64, deleted bool) store.Event {
 	return store.Event{Entry: store.Entry{Key: key, Revision: revision}, Deleted: deleted}
 }
 
 // The store drops its history while the connection is cut, so that changes are
 // lost: operators saw a key work on that had been taken away. After the loss all
 // is listed anew, and no change before it is passed on twice.
-func TestHistoryLost(t *testing.T) {
-	s, target, _ := play(t,
+func TestListsAgainAfterCompaction(t *testing.T) {
+	s, target, _ := runScript(t,
 		store.Listing{Revision: 5, Entries: []store.Entry{{Key: "a"}}},
-		store.Events{Revision: 6, Events: []store.Event{change("b", 6, false)}},
-		errCut,
+		store.Events{Revision: 6, Events: []store.Event{changeEvent("b", 6, false)}},
+		errDisconnected,
 		store.Events{Revision: 6, Compacted: true},
 		store.Listing{Revision: 9, Entries: []store.Entry{{Key: "a"}, {Key: "c"}}},
 	)
@@ -107,8 +107,8 @@
 }
 
 // A first listing that fails is tried again, and nothing is known until one came.
-func TestFirstListingFails(t *testing.T) {
-	s, _, f := play(t, errCut, errCut, store.Listing{Revision: 1})
+func TestFirstListingIsRetried(t *testing.T) {
+	s, _, f := runScript(t, errDisconnected, errDisconnected, store.Listing{Revision: 1})
 	if got := fmt.Sprint(s.calls); got != "[list list list watch 1]" {
 		t.Errorf("called %s", got)
 	}
@@ -124,7 +124,7 @@
 // must not take the watch back: changes would be passed on again, and older
 // configurations with them.
 func TestRevisionNeverGoesBack(t *testing.T) {
-	s, _, _ := play(t, store.Listing{Revision: 5}, store.Events{Revision: 3})
+	s, _, _ := runScript(t, store.Listing{Revision: 5}, store.Events{Revision: 3})
 	if got := fmt.Sprint(s.calls); got != "[list watch 5 watch 5]" {
 		t.Errorf("called %s", got)
 	}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -21,10 +21,10 @@
 	// may still be about to act when it looks.
 	margin time.Duration
 
-	mu    sync.Mutex
-	id    store.LeaseID
-	until clock.BootTime
-	ended bool
+	mu         sync.Mutex
+	id         store.LeaseID
+	validUntil clock.BootTime
+	closed     bool
 }
 
 // NewSession returns a session whose lease lapses ttl after its last renewal,
@@ -33,17 +33,17 @@
 	return &Session{store: s, ttl: ttl, margin: margin}
 }
 
-// renewals is how many times a lease is renewed within its time, so that one
-// or two lost renewals don't end it.
-const renewals = 4
+// renewalsPerTTL is how many times a lease is renewed within its time, so that one
+// or two lost renewalsPerTTL don't end it.
+const renewalsPerTTL = 4
 
 // Run keeps the lease until ctx ends. After each new grant it calls granted,
 // which puts the keys that hang on the lease.
 func (s *Session) Run(ctx context.Context, granted func(context.Context, store.LeaseID)) {
-	ticker := time.NewTicker(s.ttl / renewals)
+	ticker := time.NewTicker(s.ttl / renewalsPerTTL)
 	defer ticker.Stop()
 	for {
-		if fresh := s.keep(ctx); fresh {
+		if isNew := s.renewOrGrant(ctx); isNew {
 			granted(ctx, s.ID())
 		}
 		select {
@@ -54,16 +54,16 @@
 	}
 }
 
-// keep renews the lease or takes a new one, and reports whether it is new.
-func (s *Session) keep(ctx context.Context) bool {
+// renewOrGrant renews the lease or takes a new one, and reports whether it is new.
+func (s *Session) renewOrGrant(ctx context.Context) bool {
 	// The lease runs from the arrival of the call at the store, which is later
 	// than its sending; so the sending is the moment to count from.
-	sent := clock.Now()
+	sentAt := clock.Now()
 	id := s.ID()
 	if id != "" {
 		err := s.store.Renew(ctx, id)
 		if err == nil {
-			s.set(id, sent)
+			s.set(id, sentAt)
 			return false
 		}
 		if !errors.Is(err, store.ErrNotFound) {
@@ -71,25 +71,25 @@
 		}
 		s.set("", 0)
 	}
-	sent = clock.Now()
+	sentAt = clock.Now()
 	id, err := s.store.Grant(ctx, s.ttl)
 	if err != nil {
 		return false
 	}
-	s.set(id, sent)
+	s.set(id, sentAt)
 	return true
 }
 
-func (s *Session) set(id store.LeaseID, sent clock.BootTime) {
+func (s *Session) set(id store.LeaseID, sentAt clock.BootTime) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended {
+	if s.closed {
 		return
 	}
 	s.id = id
-	s.until = sent.Add(s.ttl - s.margin)
+	s.validUntil = sentAt.Add(s.ttl - s.margin)
 	if id == "" {
-		s.until = 0
+		s.validUntil = 0
 	}
 }
 
@@ -106,7 +106,7 @@
 func (s *Session) Valid() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.id != "" && clock.Now() < s.until
+	return s.id != "" && clock.Now() < s.validUntil
 }
 
 // Remaining returns for how long the lease lasts at least; 0 once it may have lapsed. What
@@ -118,7 +118,7 @@
 	if s.id == "" {
 		return 0
 	}
-	return max(0, time.Duration(s.until.Add(s.margin)-clock.Now()))
+	return max(0, time.Duration(s.validUntil.Add(s.margin)-clock.Now()))
 }
 
 // Close gives the lease up for good, so that its keys vanish at once.
@@ -126,7 +126,7 @@
 	id := s.ID()
 	s.set("", 0)
 	s.mu.Lock()
-	s.ended = true
+	s.closed = true
 	s.mu.Unlock()
 	if id == "" {
 		return nil
--- a/lru/parts.go
+++ b/lru/parts.go
@@ -5,64 +5,64 @@
 // capacity those unused for longest are forgotten, as a cache by last use does. New
 // returns them empty; they are not safe for concurrent use.
 type Cache struct {
-	held   map[uint64]*part
-	tokens int
+	entries map[uint64]*entry
+	tokens  int
 	// head and tail of the list by last use, newest first.
-	head, tail *part
+	head, tail *entry
 }
 
-type part struct {
+type entry struct {
 	hash       uint64
 	tokens     int
-	prev, next *part
+	prev, next *entry
 }
 
 // New returns no parts.
 func New() *Cache {
-	return &Cache{held: map[uint64]*part{}}
+	return &Cache{entries: map[uint64]*entry{}}
 }
 
 // Has reports whether a part is held.
 func (p *Cache) Has(hash uint64) bool {
-	return p.held[hash] != nil
+	return p.entries[hash] != nil
 }
 
 // Use notes that a part was sent, and forgets the parts unused for longest
 // beyond capacity tokens; a capacity of 0 is no bound.
 func (p *Cache) Use(hash uint64, tokens, capacity int) {
-	e := p.held[hash]
+	e := p.entries[hash]
 	if e == nil {
-		e = &part{hash: hash, tokens: tokens}
-		p.held[hash] = e
+		e = &entry{hash: hash, tokens: tokens}
+		p.entries[hash] = e
 		p.tokens += tokens
 	} else {
 		p.unlink(e)
 	}
-	p.push(e)
+	p.pushFront(e)
 	for capacity > 0 && p.tokens > capacity && p.tail != e {
-		p.drop(p.tail)
+		p.evict(p.tail)
 	}
 }
 
 // Len returns how many parts there are.
 func (p *Cache) Len() int {
-	return len(p.held)
+	return len(p.entries)
 }
 
 // Remove takes a part out that the runner no longer has.
 func (p *Cache) Remove(hash uint64) {
-	if e := p.held[hash]; e != nil {
-		p.drop(e)
+	if e := p.entries[hash]; e != nil {
+		p.evict(e)
 	}
 }
 
-func (p *Cache) drop(e *part) {
+func (p *Cache) evict(e *entry) {
 	p.unlink(e)
-	delete(p.held, e.hash)
+	delete(p.entries, e.hash)
 	p.tokens -= e.tokens
 }
 
-func (p *Cache) push(e *part) {
+func (p *Cache) pushFront(e *entry) {
 	e.prev, e.next = nil, p.head
 	if p.head != nil {
 		p.head.prev = e
@@ -73,7 +73,7 @@
 	}
 }
 
-func (p *Cache) unlink(e *part) {
+func (p *Cache) unlink(e *entry) {
 	if e.prev != nil {
 		e.prev.next = e.next
 	} else {
--- a/order/order.go
+++ b/order/order.go
@@ -6,9 +6,9 @@
 
 import "time"
 
-// MaxLoads is how many runners load weights at once over the deployment:
+// MaxConcurrentLoads is how many runners load weights at once over the deployment:
 // past three each becomes slower.
-const MaxLoads = 3
+const MaxConcurrentLoads = 3
 
 // OrderTimeout bounds one order to an engine. Whoever takes over from a holder
 // that may still be waiting for its engine waits this long first.
@@ -57,7 +57,7 @@
 		return NoStep
 	case !in.SlotHeld && in.PlatformDownFor == 0:
 		return AcquireSlot
-	case !in.SlotHeld && in.PlatformDownFor < Turn(in.Rank):
+	case !in.SlotHeld && in.PlatformDownFor < TurnDelay(in.Rank):
 		return AwaitTurn
 	case !in.Idle:
 		return Drain
@@ -65,11 +65,11 @@
 	return Load
 }
 
-// Turn returns how long the platform's service must have been away until the
+// TurnDelay returns how long the platform's service must have been away until the
 // runner of a rank may load without a slot: MaxLoads at a time, a longest
 // order apart.
-func Turn(rank int) time.Duration {
-	return PlatformGracePeriod + time.Duration(rank/MaxLoads)*OrderTimeout
+func TurnDelay(rank int) time.Duration {
+	return PlatformGracePeriod + time.Duration(rank/MaxConcurrentLoads)*OrderTimeout
 }
 
 // MinInService returns how many of a model's runners must stay in service while
@@ -84,7 +84,7 @@
 // ConcurrentLoads returns how many of a model's runners may load at once: no more
 // than leaves the needed ones in service, but one, or nothing would ever change.
 func ConcurrentLoads(minRunners, runners int) int {
-	return min(MaxLoads, max(1, runners-MinInService(minRunners, runners)))
+	return min(MaxConcurrentLoads, max(1, runners-MinInService(minRunners, runners)))
 }
 
 // ServingVersion returns the weights that new requests go to while a model changes
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -21,7 +21,7 @@
 		{"idle with a slot", with(func(i *Input) { i.SlotHeld, i.Idle = true, true }), Load},
 		{"platform down for a moment", with(func(i *Input) { i.PlatformDownFor = 1 }), AwaitTurn},
 		{"platform down for long", with(func(i *Input) { i.PlatformDownFor, i.Idle = PlatformGracePeriod, true }), Load},
-		{"platform down, a later rank", with(func(i *Input) { i.PlatformDownFor, i.Rank = PlatformGracePeriod, MaxLoads }), AwaitTurn},
+		{"platform down, a later rank", with(func(i *Input) { i.PlatformDownFor, i.Rank = PlatformGracePeriod, MaxConcurrentLoads }), AwaitTurn},
 	} {
 		if got := Next(test.in); got != test.want {
 			t.Errorf("%s: %s, want %s", test.name, got, test.want)
--- a/peering/peering.go
+++ b/peering/peering.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// GroupMost is how many members a group has at most. At 5 ms a peer between two
+	// MaxGroupSize is how many members a group has at most. At 5 ms a peer between two
 	// tellings each hears of all others of its group eight times a second, at some
 	// 200 datagrams a second in and out: a small machine's processor bears three
 	// times that.
-	GroupMost = 25
-	// relaysEach is how many members may relay news between two groups: the
+	MaxGroupSize = 25
+	// relaysPerLink is how many members may relay news between two groups: the
 	// second does so while nothing is heard of the first.
-	relaysEach = 2
+	relaysPerLink = 2
 )
 
 // Member is one process of the system.
@@ -67,19 +67,19 @@
 // order of their zones, so that most news stays within one, and a member that comes
 // or goes moves at most one other between any two groups.
 func New(self string, members []Member) Plan {
-	order := slices.Clone(members)
-	slices.SortFunc(order, func(a, b Member) int {
+	sorted := slices.Clone(members)
+	slices.SortFunc(sorted, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(prefix.NameHash(a.Key), prefix.NameHash(b.Key)), cmp.Compare(a.Key, b.Key))
 	})
-	groups := divide(order)
-	at := slices.IndexFunc(groups, func(g []Member) bool {
-		return has(g, self)
+	groups := partition(sorted)
+	own := slices.IndexFunc(groups, func(g []Member) bool {
+		return containsKey(g, self)
 	})
-	if at < 0 {
+	if own < 0 {
 		return Plan{Self: self, GroupCount: len(groups)}
 	}
-	p := Plan{Self: self, Group: at, GroupCount: len(groups), Joined: true}
-	for i, m := range ranked(groups[at], "duties") {
+	p := Plan{Self: self, Group: own, GroupCount: len(groups), Joined: true}
+	for i, m := range ranked(groups[own], "duties") {
 		if m.Key == self {
 			p.Rank = i
 			continue
@@ -87,8 +87,8 @@
 		p.Peers = append(p.Peers, m)
 	}
 	for other := range groups {
-		if other != at {
-			p.Links = append(p.Links, newLink(groups, at, other))
+		if other != own {
+			p.Links = append(p.Links, newLink(groups, own, other))
 		}
 	}
 	return p
@@ -96,16 +96,16 @@
 
 // RanksBefore reports whether a member's turn comes before the process's own.
 func (p Plan) RanksBefore(key string) bool {
-	return has(p.Peers[:p.Rank], key)
+	return containsKey(p.Peers[:p.Rank], key)
 }
 
 // HasPeer reports whether the member with a key is among those that the process tells.
 func (p Plan) HasPeer(key string) bool {
-	return has(p.Peers, key)
+	return containsKey(p.Peers, key)
 }
 
-// has reports whether the member with a key is among some.
-func has(members []Member, key string) bool {
+// containsKey reports whether the member with a key is among some.
+func containsKey(members []Member, key string) bool {
 	return slices.ContainsFunc(members, func(m Member) bool { return m.Key == key })
 }
 
@@ -114,12 +114,12 @@
 	return slices.Contains(l.Relays, p.Self)
 }
 
-// divide cuts the members into as few groups as may be, all of one size but for one.
-func divide(order []Member) [][]Member {
-	n := (len(order) + GroupMost - 1) / GroupMost
+// partition cuts the members into as few groups as may be, all of one size but for one.
+func partition(sorted []Member) [][]Member {
+	n := (len(sorted) + MaxGroupSize - 1) / MaxGroupSize
 	groups := make([][]Member, n)
-	for i, m := range order {
-		at := i * n / len(order)
+	for i, m := range sorted {
+		at := i * n / len(sorted)
 		groups[at] = append(groups[at], m)
 	}
 	return groups
@@ -137,9 +137,9 @@
 }
 
 // relays returns the members of one group that relay between it and another.
-func relays(groups [][]Member, of, to int) []Member {
-	order := ranked(groups[of], "to group "+strconv.Itoa(to))
-	return order[:min(relaysEach, len(order))]
+func relays(groups [][]Member, from, to int) []Member {
+	candidates := ranked(groups[from], "to group "+strconv.Itoa(to))
+	return candidates[:min(relaysPerLink, len(candidates))]
 }
 
 // ranked returns members in an order by rendezvous, which differs with each duty so
--- a/peering/peering_test.go
+++ b/peering/peering_test.go
@@ -18,7 +18,7 @@
 // that a hundred other entries had filled. At any size now, what one entry knows
 // must reach every other one, by hops that all of them find alike, and each must
 // tell and hear a bounded number: no size may be a cliff.
-func TestNewsReachesAllAtAnySize(t *testing.T) {
+func TestUpdatesReachAllMembersAtAnySize(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 20, 25, 26, 40, 41, 50, 51, 103, 300, 370, 1000} {
 		all := members(n)
 		plans := map[string]Plan{}
@@ -27,7 +27,7 @@
 			plans[m.Key] = New(m.Key, all)
 			byAddress[m.Address] = m.Key
 		}
-		duties, tellsMost := map[string]int{}, 0
+		relayLinks, maxPeers := map[string]int{}, 0
 		for key, p := range plans {
 			reached := map[string]bool{key: true}
 			for _, peer := range p.Peers {
@@ -38,7 +38,7 @@
 					t.Fatalf("%d members: no way from group %d to %d", n, p.Group, l.Group)
 				}
 				if l.Relays[0] == key {
-					duties[key]++
+					relayLinks[key]++
 				}
 				far := plans[byAddress[l.RemoteAddresses[0]]]
 				if far.Group != l.Group || far.Links[slices.IndexFunc(far.Links, func(b Link) bool { return b.Group == p.Group })].Relays[0] != byAddress[l.RemoteAddresses[0]] {
@@ -52,12 +52,12 @@
 			if len(reached) != n {
 				t.Errorf("%d members: news of %s reaches %d", n, key, len(reached))
 			}
-			tellsMost = max(tellsMost, len(p.Peers))
+			maxPeers = max(maxPeers, len(p.Peers))
 		}
-		if tellsMost >= GroupMost {
-			t.Errorf("%d members: one tells %d", n, tellsMost)
+		if maxPeers >= MaxGroupSize {
+			t.Errorf("%d members: one tells %d", n, maxPeers)
 		}
-		for key, d := range duties {
+		for key, d := range relayLinks {
 			if d > 8 {
 				t.Errorf("%d members: %s relays to %d groups", n, key, d)
 			}
@@ -67,16 +67,16 @@
 
 // Machines are added and replaced all day. One that comes or goes must not deal all
 // groups anew: each would hear strangers and forget those that it knew.
-func TestGroupsStayWhenOneComesOrGoes(t *testing.T) {
+func TestGroupsStableOnMembershipChange(t *testing.T) {
 	all := members(103)
 	before := map[string]int{}
 	for _, m := range all {
 		before[m.Key] = New(m.Key, all).Group
 	}
-	left := slices.Delete(slices.Clone(all), 50, 51)
+	remaining := slices.Delete(slices.Clone(all), 50, 51)
 	moved := 0
-	for _, m := range left {
-		if New(m.Key, left).Group != before[m.Key] {
+	for _, m := range remaining {
+		if New(m.Key, remaining).Group != before[m.Key] {
 			moved++
 		}
 	}
@@ -86,7 +86,7 @@
 }
 
 // A process that is not enrolled yet, or just left, has nobody to share duties with.
-func TestNotEnrolled(t *testing.T) {
+func TestPlanOfNonMember(t *testing.T) {
 	if p := New("stranger", members(30)); p.Joined || len(p.Peers) != 0 || len(p.Links) != 0 {
 		t.Errorf("one that is no member has the plan %+v", p)
 	}
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -94,7 +94,7 @@
 func NewChain(salt string, p Prompt, blockTokens, pieceTokens int) Chain {
 	blockBytes := blockTokens * BytesPerToken
 	blocks := len(p.Text) / blockBytes
-	levelAt := blocksOf(p.Ends, blockBytes, blocks)
+	levelAt := endBlocks(p.Ends, blockBytes, blocks)
 	pieceBlocks := max(1, pieceTokens/blockTokens)
 	chain := Chain{Tokens: TokenCount(len(p.Text))}
 	hash := Root(salt)
@@ -113,11 +113,11 @@
 	if len(chain.Levels) == 0 {
 		chain.Levels = chain.Boundaries[:min(1, len(chain.Boundaries))]
 	}
-	chain.Boundaries = trim(chain.Boundaries)
+	chain.Boundaries = trimBoundaries(chain.Boundaries)
 	return chain
 }
 
-func blocksOf(ends []int, blockBytes, blocks int) map[int]bool {
+func endBlocks(ends []int, blockBytes, blocks int) map[int]bool {
 	at := make(map[int]bool, len(ends)+1)
 	for _, end := range ends {
 		at[end/blockBytes] = true
@@ -126,7 +126,7 @@
 	return at
 }
 
-func trim(all []Boundary) []Boundary {
+func trimBoundaries(all []Boundary) []Boundary {
 	if len(all) <= MaxBoundaries {
 		return all
 	}
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -9,7 +9,7 @@
 
 // Another customer's, other weights' or another adapter's entries must never
 // match: no block of two chains under different salts may have one hash.
-func TestSaltsKeepApart(t *testing.T) {
+func TestSaltsNeverShareHashes(t *testing.T) {
 	text := bytes.Repeat([]byte("the same long text "), 200)
 	p := Prompt{Text: text, Ends: []int{len(text)}}
 	salts := []Salt{
@@ -31,7 +31,7 @@
 }
 
 // Prompts that start alike must share their boundaries up to where they part.
-func TestChainsShareTheirPrefix(t *testing.T) {
+func TestChainsShareCommonPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		common := rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "common")
 		a := append(bytes.Clone(common), rapid.SliceOfN(rapid.Byte(), 0, 500).Draw(t, "a")...)
