--- a/pulses/held.go
+++ b/pulses/held.go
@@ -9,17 +9,17 @@
 )
 
 // EncodeSuspects encodes contents under which targets ended.
-func EncodeSuspects(reports []poison.Report) []*keelv1.SuspectContent {
-	out := make([]*keelv1.SuspectContent, 0, len(reports))
-	for _, r := range reports {
+func EncodeSuspects(all []poison.Report) []*keelv1.SuspectContent {
+	out := make([]*keelv1.SuspectContent, 0, len(all))
+	for _, r := range all {
 		w := &keelv1.SuspectContent{
-			Fingerprint: r.Content[:], Service: r.Service, Customer: r.Customer, Request: r.Request, RefusedMs: uint64(r.For.Milliseconds()),
+			Fingerprint: r.Content[:], Service: r.Service, Customer: r.Customer, Request: r.Request, RefusedMs: uint64(r.Remaining.Milliseconds()),
 		}
-		for _, e := range r.Ends {
-			w.Ends = append(w.Ends, &keelv1.TargetLife{Target: e.Life.ID, Born: e.Life.Born, Discharged: e.Discharged})
+		for _, e := range r.Crashes {
+			w.Ends = append(w.Ends, &keelv1.TargetLife{Target: e.Life.ID, Born: e.Life.Born, Discharged: e.Cleared})
 		}
-		if r.At != nil {
-			w.UnderWay = &keelv1.TargetLife{Target: r.At.ID, Born: r.At.Born}
+		if r.RunningOn != nil {
+			w.UnderWay = &keelv1.TargetLife{Target: r.RunningOn.ID, Born: r.RunningOn.Born}
 		}
 		out = append(out, w)
 	}
@@ -34,28 +34,28 @@
 			continue
 		}
 		r := poison.Report{
-			Case: poison.Case{Content: poison.Fingerprint(w.Fingerprint), Service: w.Service, Customer: w.Customer, Request: w.Request},
-			For:  time.Duration(min(w.RefusedMs, maxRefusedMs)) * time.Millisecond,
+			Case:      poison.Case{Content: poison.Fingerprint(w.Fingerprint), Service: w.Service, Customer: w.Customer, Request: w.Request},
+			Remaining: time.Duration(min(w.RefusedMs, refusedMost)) * time.Millisecond,
 		}
 		for _, e := range w.Ends {
-			r.Ends = append(r.Ends, poison.End{Life: fleet.Life{ID: e.Target, Born: e.Born}, Discharged: e.Discharged})
+			r.Crashes = append(r.Crashes, poison.Crash{Life: fleet.Life{ID: e.Target, Born: e.Born}, Cleared: e.Discharged})
 		}
 		if w.UnderWay != nil {
-			r.At = &fleet.Life{ID: w.UnderWay.Target, Born: w.UnderWay.Born}
+			r.RunningOn = &fleet.Life{ID: w.UnderWay.Target, Born: w.UnderWay.Born}
 		}
 		out = append(out, r)
 	}
 	return out
 }
 
-// maxRefusedMs is a year in milliseconds: more is no time that could be meant, and would
+// refusedMost is a year in milliseconds: more is no time that could be meant, and would
 // overflow a duration.
-const maxRefusedMs = 365 * 24 * 3600 * 1000
+const refusedMost = 365 * 24 * 3600 * 1000
 
 // EncodeNamings encodes namings of weights.
-func EncodeNamings(namings []fleet.Naming) []*keelv1.WeightsNaming {
+func EncodeNamings(all []fleet.Naming) []*keelv1.WeightsNaming {
 	var out []*keelv1.WeightsNaming
-	for _, n := range namings {
+	for _, n := range all {
 		out = append(out, &keelv1.WeightsNaming{Model: n.Model, Version: n.Version, AgeMs: uint64(max(0, n.Age.Milliseconds()))})
 	}
 	return out
@@ -66,11 +66,11 @@
 	var out []fleet.Naming
 	for _, n := range all {
 		// A word is a peer's, not to be trusted to fit.
-		age := time.Duration(min(n.AgeMs, uint64(maxAge.Milliseconds()))) * time.Millisecond
+		age := time.Duration(min(n.AgeMs, uint64(longestAge.Milliseconds()))) * time.Millisecond
 		out = append(out, fleet.Naming{Model: n.Model, Version: n.Version, Age: age})
 	}
 	return out
 }
 
-// maxAge bounds the age of a naming that is told: far beyond any bound on weights.
-const maxAge = 24 * time.Hour
+// longestAge bounds the age of a naming that is told: far beyond any bound on weights.
+const longestAge = 24 * time.Hour
--- a/pulses/packing.go
+++ b/pulses/packing.go
@@ -8,44 +8,44 @@
 	keelv1 "acaciakeel/api/keel/v1"
 )
 
-// packer spreads a pulse over datagrams of about DatagramBytes each.
-type packer struct {
+// packing spreads a pulse over datagrams of about DatagramBytes each.
+type packing struct {
 	// message is the datagram that is being filled, size about its bytes, and begin
 	// returns the next one with what each of them bears.
-	message    *keelv1.Pulse
-	size       int
-	newMessage func() *keelv1.Pulse
-	datagrams  [][]byte
-	err        error
+	message *keelv1.Pulse
+	size    int
+	begin   func() *keelv1.Pulse
+	out     [][]byte
+	err     error
 }
 
-func newPacker(first *keelv1.Pulse, newMessage func() *keelv1.Pulse) *packer {
-	return &packer{message: first, size: proto.Size(first), newMessage: newMessage}
+func newPacking(first *keelv1.Pulse, begin func() *keelv1.Pulse) *packing {
+	return &packing{message: first, size: proto.Size(first), begin: begin}
 }
 
-// reserve makes reserve for a part of so many bytes, in the next datagram if need be.
-func (p *packer) reserve(bytes int) {
+// room makes room for a part of so many bytes, in the next datagram if need be.
+func (p *packing) room(bytes int) {
 	if p.size+bytes > DatagramBytes {
-		p.startNext()
+		p.next()
 	}
 	p.size += bytes
 }
 
-// startNext begins the startNext datagram.
-func (p *packer) startNext() {
+// next begins the next datagram.
+func (p *packing) next() {
 	p.flush()
-	p.message = p.newMessage()
+	p.message = p.begin()
 	p.size = proto.Size(p.message)
 }
 
-func (p *packer) flush() {
+func (p *packing) flush() {
 	datagram, err := Encode(p.message)
 	p.err = errors.Join(p.err, err)
-	p.datagrams = append(p.datagrams, datagram)
+	p.out = append(p.out, datagram)
 }
 
-// finish returns the datagrams.
-func (p *packer) finish() ([][]byte, error) {
+// end returns the datagrams.
+func (p *packing) end() ([][]byte, error) {
 	p.flush()
-	return p.datagrams, p.err
+	return p.out, p.err
 }
