--- a/pulses/held.go
+++ b/pulses/held.go
@@ -9,9 +9,9 @@
 )
 
 // EncodeSuspects encodes contents under which targets ended.
-func EncodeSuspects(all []poison.Report) []*keelv1.SuspectContent {
-	out := make([]*keelv1.SuspectContent, 0, len(all))
-	for _, r := range all {
+func EncodeSuspects(reports []poison.Report) []*keelv1.SuspectContent {
+	out := make([]*keelv1.SuspectContent, 0, len(reports))
+	for _, r := range reports {
 		w := &keelv1.SuspectContent{
 			Fingerprint: r.Content[:], Service: r.Service, Customer: r.Customer, Request: r.Request, RefusedMs: uint64(r.Remaining.Milliseconds()),
 		}
@@ -35,7 +35,7 @@
 		}
 		r := poison.Report{
 			Case:      poison.Case{Content: poison.Fingerprint(w.Fingerprint), Service: w.Service, Customer: w.Customer, Request: w.Request},
-			Remaining: time.Duration(min(w.RefusedMs, refusedMost)) * time.Millisecond,
+			Remaining: time.Duration(min(w.RefusedMs, maxRefusedMs)) * time.Millisecond,
 		}
 		for _, e := range w.Ends {
 			r.Crashes = append(r.Crashes, poison.Crash{Life: fleet.Life{ID: e.Target, Born: e.Born}, Cleared: e.Discharged})
@@ -48,14 +48,14 @@
 	return out
 }
 
-// refusedMost is a year in milliseconds: more is no time that could be meant, and would
+// maxRefusedMs is a year in milliseconds: more is no time that could be meant, and would
 // overflow a duration.
-const refusedMost = 365 * 24 * 3600 * 1000
+const maxRefusedMs = 365 * 24 * 3600 * 1000
 
 // EncodeNamings encodes namings of weights.
-func EncodeNamings(all []fleet.Naming) []*keelv1.WeightsNaming {
+func EncodeNamings(namings []fleet.Naming) []*keelv1.WeightsNaming {
 	var out []*keelv1.WeightsNaming
-	for _, n := range all {
+	for _, n := range namings {
 		out = append(out, &keelv1.WeightsNaming{Model: n.Model, Version: n.Version, AgeMs: uint64(max(0, n.Age.Milliseconds()))})
 	}
 	return out
@@ -66,11 +66,11 @@
 	var out []fleet.Naming
 	for _, n := range all {
 		// A word is a peer's, not to be trusted to fit.
-		age := time.Duration(min(n.AgeMs, uint64(longestAge.Milliseconds()))) * time.Millisecond
+		age := time.Duration(min(n.AgeMs, uint64(maxAge.Milliseconds()))) * time.Millisecond
 		out = append(out, fleet.Naming{Model: n.Model, Version: n.Version, Age: age})
 	}
 	return out
 }
 
-// longestAge bounds the age of a naming that is told: far beyond any bound on weights.
-const longestAge = 24 * time.Hour
+// maxAge bounds the age of a naming that is told: far beyond any bound on weights.
+const maxAge = 24 * time.Hour
--- a/pulses/limits.go
+++ b/pulses/limits.go
@@ -5,25 +5,25 @@
 	"acaciakeel/quota"
 )
 
-// limitWords is how many customers' words stand in one datagram: with its head they
+// limitsPerDatagram is how many customers' words stand in one datagram: with its head they
 // fill it.
-const limitWords = 40
+const limitsPerDatagram = 40
 
-// limitWordBytes is about how many bytes one takes.
-const limitWordBytes = 27
+// limitEntryBytes is about how many bytes one takes.
+const limitEntryBytes = 27
 
 // EncodeLimits divides news on limits into datagrams; the first one is there without
 // words too, as the sign that its sender is there.
 func EncodeLimits(n quota.UsageUpdate) []*keelv1.LimitNews {
 	var out []*keelv1.LimitNews
-	for from := 0; from == 0 || from < len(n.Reports); from += limitWords {
+	for from := 0; from == 0 || from < len(n.Reports); from += limitsPerDatagram {
 		w := &keelv1.LimitNews{UpUs: Micros(n.Uptime), Heard: uint32(n.Processes)}
-		for _, word := range n.Reports[from:min(len(n.Reports), from+limitWords)] {
-			w.Customer = append(w.Customer, word.Customer)
-			w.Total = append(w.Total, int64(word.Total))
-			w.Demand = append(w.Demand, uint64(max(0, word.Demand)))
-			w.Level = append(w.Level, int64(word.Level))
-			w.Added = append(w.Added, int64(word.Increase))
+		for _, report := range n.Reports[from:min(len(n.Reports), from+limitsPerDatagram)] {
+			w.Customer = append(w.Customer, report.Customer)
+			w.Total = append(w.Total, int64(report.Total))
+			w.Demand = append(w.Demand, uint64(max(0, report.Demand)))
+			w.Level = append(w.Level, int64(report.Level))
+			w.Added = append(w.Added, int64(report.Increase))
 		}
 		out = append(out, w)
 	}
@@ -42,13 +42,13 @@
 	return n
 }
 
-// limits packs news on limits, of which each datagram bears one part.
-func (p *packing) limits(n quota.UsageUpdate, put func(*keelv1.Pulse, *keelv1.LimitNews)) {
+// addLimits packs news on addLimits, of which each datagram bears one part.
+func (p *packer) addLimits(n quota.UsageUpdate, set func(*keelv1.Pulse, *keelv1.LimitNews)) {
 	for i, w := range EncodeLimits(n) {
 		if i > 0 {
-			p.next()
+			p.startNext()
 		}
-		p.room(len(w.Customer) * limitWordBytes)
-		put(p.message, w)
+		p.reserve(len(w.Customer) * limitEntryBytes)
+		set(p.message, w)
 	}
 }
--- a/pulses/packing.go
+++ b/pulses/packing.go
@@ -8,44 +8,44 @@
 	keelv1 "acaciakeel/api/keel/v1"
 )
 
-// packing spreads a pulse over datagrams of about DatagramBytes each.
-type packing struct {
+// packer spreads a pulse over datagrams of about DatagramBytes each.
+type packer struct {
 	// message is the datagram that is being filled, size about its bytes, and begin
 	// returns the next one with what each of them bears.
-	message *keelv1.Pulse
-	size    int
-	begin   func() *keelv1.Pulse
-	out     [][]byte
-	err     error
+	message    *keelv1.Pulse
+	size       int
+	newMessage func() *keelv1.Pulse
+	datagrams  [][]byte
+	err        error
 }
 
-func newPacking(first *keelv1.Pulse, begin func() *keelv1.Pulse) *packing {
-	return &packing{message: first, size: proto.Size(first), begin: begin}
+func newPacker(first *keelv1.Pulse, newMessage func() *keelv1.Pulse) *packer {
+	return &packer{message: first, size: proto.Size(first), newMessage: newMessage}
 }
 
-// room makes room for a part of so many bytes, in the next datagram if need be.
-func (p *packing) room(bytes int) {
+// reserve makes reserve for a part of so many bytes, in the next datagram if need be.
+func (p *packer) reserve(bytes int) {
 	if p.size+bytes > DatagramBytes {
-		p.next()
+		p.startNext()
 	}
 	p.size += bytes
 }
 
-// next begins the next datagram.
-func (p *packing) next() {
+// startNext begins the startNext datagram.
+func (p *packer) startNext() {
 	p.flush()
-	p.message = p.begin()
+	p.message = p.newMessage()
 	p.size = proto.Size(p.message)
 }
 
-func (p *packing) flush() {
+func (p *packer) flush() {
 	datagram, err := Encode(p.message)
 	p.err = errors.Join(p.err, err)
-	p.out = append(p.out, datagram)
+	p.datagrams = append(p.datagrams, datagram)
 }
 
-// end returns the datagrams.
-func (p *packing) end() ([][]byte, error) {
+// finish returns the datagrams.
+func (p *packer) finish() ([][]byte, error) {
 	p.flush()
-	return p.out, p.err
+	return p.datagrams, p.err
 }
--- a/pulses/wire.go
+++ b/pulses/wire.go
@@ -38,21 +38,21 @@
 	StoreView *keelv1.StoreView
 }
 
-// newsMost bounds each kind of news that waits to be relayed: a second's of a group.
-const newsMost = 4096
+// maxPendingPerKind bounds each kind of news that waits to be relayed: a second's of a group.
+const maxPendingPerKind = 4096
 
 // AppendRelayed adds what is relayed of other news.
 func (p *Update) AppendRelayed(other Update) {
-	if len(p.Findings) < newsMost {
+	if len(p.Findings) < maxPendingPerKind {
 		p.Findings = append(p.Findings, other.Findings...)
 	}
-	if len(p.Caches) < newsMost {
+	if len(p.Caches) < maxPendingPerKind {
 		p.Caches = append(p.Caches, other.Caches...)
 	}
-	if len(p.Saves) < newsMost {
+	if len(p.Saves) < maxPendingPerKind {
 		p.Saves = append(p.Saves, other.Saves...)
 	}
-	if len(p.Suspects) < newsMost {
+	if len(p.Suspects) < maxPendingPerKind {
 		p.Suspects = append(p.Suspects, other.Suspects...)
 	}
 }
@@ -66,8 +66,8 @@
 	return datagram, nil
 }
 
-// first returns the pulse that a node's news begins with: its load stands whole in it.
-func (p Update) first(sender string) *keelv1.Pulse {
+// firstMessage returns the pulse that a node's news begins with: its load stands whole in it.
+func (p Update) firstMessage(sender string) *keelv1.Pulse {
 	return &keelv1.Pulse{
 		Sender: sender, WholeLoad: true, Loads: encodeLoads(p.Loads), MarkUs: Micros(time.Duration(p.SentAt)),
 		View: p.StoreView, Namings: EncodeNamings(p.Namings),
@@ -77,49 +77,49 @@
 // Datagrams encodes a pulse, spread over several where it is large; group is set
 // where it is a whole group's.
 func (p Update) Datagrams(sender string, group *keelv1.GroupNews) ([][]byte, error) {
-	pack := newPacking(p.first(sender), func() *keelv1.Pulse { return &keelv1.Pulse{Sender: sender} })
+	pack := newPacker(p.firstMessage(sender), func() *keelv1.Pulse { return &keelv1.Pulse{Sender: sender} })
 	if group != nil {
-		begin := func() *keelv1.Pulse {
+		newMessage := func() *keelv1.Pulse {
 			return &keelv1.Pulse{Sender: sender, Group: &keelv1.GroupNews{Group: group.Group, Groups: group.Groups}}
 		}
-		pack = newPacking(begin(), begin)
-		for from := 0; from < len(p.Loads); from += groupLoadsEach {
-			some := p.Loads[from:min(len(p.Loads), from+groupLoadsEach)]
-			pack.room(len(some) * GroupLoadBytes)
-			addGroupLoads(pack.message.Group, some)
+		pack = newPacker(newMessage(), newMessage)
+		for from := 0; from < len(p.Loads); from += groupLoadsPerDatagram {
+			batch := p.Loads[from:min(len(p.Loads), from+groupLoadsPerDatagram)]
+			pack.reserve(len(batch) * GroupLoadBytes)
+			addGroupLoads(pack.message.Group, batch)
 		}
 	}
-	pack.limits(p.Limits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.Limits = w })
-	pack.limits(p.TargetLimits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.TargetLimits = w })
+	pack.addLimits(p.Limits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.Limits = w })
+	pack.addLimits(p.TargetLimits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.TargetLimits = w })
 	for _, w := range EncodeSuspects(p.Suspects) {
-		pack.room(proto.Size(w))
+		pack.reserve(proto.Size(w))
 		pack.message.Suspects = append(pack.message.Suspects, w)
 	}
 	for _, w := range encodeFindings(p.Findings) {
-		pack.room(proto.Size(w))
+		pack.reserve(proto.Size(w))
 		pack.message.Findings = append(pack.message.Findings, w)
 	}
 	for _, w := range EncodeCaches(p.Caches) {
-		pack.room(proto.Size(w))
+		pack.reserve(proto.Size(w))
 		pack.message.Caches = append(pack.message.Caches, w)
 	}
 	for _, w := range encodeSaves(p.Saves) {
-		pack.room(proto.Size(w))
+		pack.reserve(proto.Size(w))
 		pack.message.Saves = append(pack.message.Saves, w)
 	}
 	for _, w := range EncodeEngines(p.Engines) {
-		pack.room(proto.Size(w))
+		pack.reserve(proto.Size(w))
 		pack.message.Engines = append(pack.message.Engines, w)
 	}
-	return pack.end()
+	return pack.finish()
 }
 
-// groupLoadsEach is how many targets' loads stand in one datagram of a group's: with
+// groupLoadsPerDatagram is how many targets' loads stand in one datagram of a group's: with
 // its head they fill it.
-const groupLoadsEach = 50
+const groupLoadsPerDatagram = 50
 
-func addGroupLoads(g *keelv1.GroupNews, all []fleet.Occupancy) {
-	for _, o := range all {
+func addGroupLoads(g *keelv1.GroupNews, loads []fleet.Occupancy) {
+	for _, o := range loads {
 		g.Target = append(g.Target, o.Target.ID)
 		g.Born = append(g.Born, o.Target.Born)
 		g.Inflight = append(g.Inflight, uint32(o.Inflight))
@@ -144,9 +144,9 @@
 	return out
 }
 
-func encodeLoads(all []fleet.Occupancy) []*keelv1.TargetLoad {
-	out := make([]*keelv1.TargetLoad, 0, len(all))
-	for _, o := range all {
+func encodeLoads(loads []fleet.Occupancy) []*keelv1.TargetLoad {
+	out := make([]*keelv1.TargetLoad, 0, len(loads))
+	for _, o := range loads {
 		out = append(out, &keelv1.TargetLoad{
 			Target: o.Target.ID, Born: o.Target.Born, Inflight: uint32(o.Inflight), Long: uint32(o.Long),
 			PrefillTokens: uint32(max(0, o.Prefill)), Resumable: uint32(o.Resumable), Held: uint32(max(0, o.Held)),
@@ -166,25 +166,25 @@
 	return out
 }
 
-func encodeFindings(all []fleet.Finding) []*keelv1.TargetFinding {
-	out := make([]*keelv1.TargetFinding, 0, len(all))
-	for _, found := range all {
-		w := &keelv1.TargetFinding{Target: found.Target.ID, Born: found.Target.Born, BusyMs: uint32(found.Busy.Milliseconds()), Leaving: found.Leaving}
-		for model, version := range found.Weights {
+func encodeFindings(findings []fleet.Finding) []*keelv1.TargetFinding {
+	out := make([]*keelv1.TargetFinding, 0, len(findings))
+	for _, finding := range findings {
+		w := &keelv1.TargetFinding{Target: finding.Target.ID, Born: finding.Target.Born, BusyMs: uint32(finding.Busy.Milliseconds()), Leaving: finding.Leaving}
+		for model, version := range finding.Weights {
 			w.Weights = append(w.Weights, &keelv1.LoadedWeights{Model: model, Version: version})
 		}
-		w.PartHash, w.PartTokens = encodeParts(found.Parts)
-		w.Limit = encodeTargetLimit(found.Limit)
+		w.PartHash, w.PartTokens = encodeParts(finding.Parts)
+		w.Limit = encodeTargetLimit(finding.Limit)
 		out = append(out, w)
 	}
 	return out
 }
 
-func encodeTargetLimit(told *fleet.ToldLimit) *keelv1.TargetLimit {
-	if told == nil {
+func encodeTargetLimit(limit *fleet.ToldLimit) *keelv1.TargetLimit {
+	if limit == nil {
 		return nil
 	}
-	return &keelv1.TargetLimit{Named: told.Named, Rate: told.Rate, AgeUs: Micros(told.Age)}
+	return &keelv1.TargetLimit{Named: limit.Named, Rate: limit.Rate, AgeUs: Micros(limit.Age)}
 }
 
 // decodeTargetLimit leaves out a limit that is no figure.
@@ -192,14 +192,14 @@
 	if w == nil || math.IsNaN(w.Rate) || w.Rate < 0 {
 		return nil
 	}
-	return &fleet.ToldLimit{Limit: fleet.Limit{Named: w.Named, Rate: w.Rate}, Age: FromMicros(min(w.AgeUs, Micros(longestAge)))}
+	return &fleet.ToldLimit{Limit: fleet.Limit{Named: w.Named, Rate: w.Rate}, Age: FromMicros(min(w.AgeUs, Micros(maxAge)))}
 }
 
 // DecodeFindings decodes what was learnt of targets.
 func DecodeFindings(all []*keelv1.TargetFinding) []fleet.Finding {
 	out := make([]fleet.Finding, 0, len(all))
 	for _, w := range all {
-		found := fleet.Finding{
+		finding := fleet.Finding{
 			Target:  fleet.Life{ID: w.Target, Born: w.Born},
 			Weights: map[string]int64{},
 			Busy:    time.Duration(w.BusyMs) * time.Millisecond,
@@ -208,9 +208,9 @@
 			Leaving: w.Leaving,
 		}
 		for _, l := range w.Weights {
-			found.Weights[l.Model] = l.Version
+			finding.Weights[l.Model] = l.Version
 		}
-		out = append(out, found)
+		out = append(out, finding)
 	}
 	return out
 }
@@ -232,9 +232,9 @@
 }
 
 // EncodeCaches encodes what changed in caches.
-func EncodeCaches(all []fleet.CacheNews) []*keelv1.CacheNews {
-	out := make([]*keelv1.CacheNews, 0, len(all))
-	for _, n := range all {
+func EncodeCaches(updates []fleet.CacheNews) []*keelv1.CacheNews {
+	out := make([]*keelv1.CacheNews, 0, len(updates))
+	for _, n := range updates {
 		w := &keelv1.CacheNews{
 			Address: n.Address, Target: n.Target.ID, Born: n.Target.Born, Boot: n.Boot, Next: n.Next, DroppedHash: n.Dropped, Silent: n.Silent,
 		}
@@ -256,9 +256,9 @@
 	return out
 }
 
-func encodeSaves(all []fleet.Saves) []*keelv1.StoreSaves {
-	out := make([]*keelv1.StoreSaves, 0, len(all))
-	for _, s := range all {
+func encodeSaves(saves []fleet.Saves) []*keelv1.StoreSaves {
+	out := make([]*keelv1.StoreSaves, 0, len(saves))
+	for _, s := range saves {
 		out = append(out, &keelv1.StoreSaves{Store: s.Store, PartHash: s.Parts})
 	}
 	return out
@@ -274,18 +274,18 @@
 }
 
 // EncodeEngines encodes what was observed of engines.
-func EncodeEngines(all []forecast.Report) []*keelv1.EngineWord {
-	out := make([]*keelv1.EngineWord, 0, len(all))
-	for _, word := range all {
+func EncodeEngines(reports []forecast.Report) []*keelv1.EngineWord {
+	out := make([]*keelv1.EngineWord, 0, len(reports))
+	for _, report := range reports {
 		w := &keelv1.EngineWord{
-			Service: word.Service, Weight: float32(word.Sums.Weight), LoadMs: uint32(word.WeightLoads.IdleDuration.Milliseconds()), LoadsSeen: uint32(word.WeightLoads.Samples),
-			Light: float32(word.OfferedLoad.Light), Heavy: float32(word.OfferedLoad.Heavy), Heavies: float32(word.OfferedLoad.HeavyRate), Longs: float32(word.OfferedLoad.LongRate),
-			RunSeconds: float32(word.SlotHold.Seconds), RunTokens: float32(word.SlotHold.Tokens),
+			Service: report.Service, Weight: float32(report.Sums.Weight), LoadMs: uint32(report.WeightLoads.IdleDuration.Milliseconds()), LoadsSeen: uint32(report.WeightLoads.Samples),
+			Light: float32(report.OfferedLoad.Light), Heavy: float32(report.OfferedLoad.Heavy), Heavies: float32(report.OfferedLoad.HeavyRate), Longs: float32(report.OfferedLoad.LongRate),
+			RunSeconds: float32(report.SlotHold.Seconds), RunTokens: float32(report.SlotHold.Tokens),
 		}
-		for _, x := range word.Sums.Cross {
+		for _, x := range report.Sums.Cross {
 			w.Cross = append(w.Cross, float32(x))
 		}
-		for _, x := range word.Sums.Right {
+		for _, x := range report.Sums.Right {
 			w.Right = append(w.Right, float32(x))
 		}
 		out = append(out, w)
@@ -297,7 +297,7 @@
 func DecodeEngines(all []*keelv1.EngineWord) []forecast.Report {
 	out := make([]forecast.Report, 0, len(all))
 	for _, w := range all {
-		word := forecast.Report{
+		report := forecast.Report{
 			Service: w.Service,
 			WeightLoads: forecast.WeightLoads{
 				IdleDuration: time.Duration(w.LoadMs) * time.Millisecond, Samples: int(w.LoadsSeen),
@@ -305,17 +305,17 @@
 			OfferedLoad: forecast.OfferedLoad{Light: float64(w.Light), Heavy: float64(w.Heavy), HeavyRate: float64(w.Heavies), LongRate: float64(w.Longs)},
 			SlotHold:    forecast.TimePerToken{Seconds: float64(w.RunSeconds), Tokens: float64(w.RunTokens)},
 		}
-		if len(w.Cross) != len(word.Sums.Cross) || len(w.Right) != len(word.Sums.Right) {
+		if len(w.Cross) != len(report.Sums.Cross) || len(w.Right) != len(report.Sums.Right) {
 			continue
 		}
-		word.Sums.Weight = float64(w.Weight)
+		report.Sums.Weight = float64(w.Weight)
 		for i, x := range w.Cross {
-			word.Sums.Cross[i] = float64(x)
+			report.Sums.Cross[i] = float64(x)
 		}
 		for i, x := range w.Right {
-			word.Sums.Right[i] = float64(x)
+			report.Sums.Right[i] = float64(x)
 		}
-		out = append(out, word)
+		out = append(out, report)
 	}
 	return out
 }
@@ -328,18 +328,18 @@
 
 // TruncateTo cuts suspects, findings, saves and news of caches, in this order, to what fits so many
 // bytes, and returns about how many are used. Of each kind the newest stay.
-func (p *Update) TruncateTo(room int) (used int) {
-	p.Suspects = newest(p.Suspects, &used, room, func(r poison.Report) int { return 100 + 30*len(r.Crashes) })
-	p.Findings = newest(p.Findings, &used, room, func(f fleet.Finding) int { return 60 + PartBytes*len(f.Parts) })
-	p.Saves = newest(p.Saves, &used, room, func(s fleet.Saves) int { return 24 + 8*len(s.Parts) })
-	p.Caches = newest(p.Caches, &used, room, func(n fleet.CacheNews) int { return 48 + PartBytes*len(n.Stored) + 8*len(n.Dropped) })
+func (p *Update) TruncateTo(budget int) (used int) {
+	p.Suspects = newest(p.Suspects, &used, budget, func(r poison.Report) int { return 100 + 30*len(r.Crashes) })
+	p.Findings = newest(p.Findings, &used, budget, func(f fleet.Finding) int { return 60 + PartBytes*len(f.Parts) })
+	p.Saves = newest(p.Saves, &used, budget, func(s fleet.Saves) int { return 24 + 8*len(s.Parts) })
+	p.Caches = newest(p.Caches, &used, budget, func(n fleet.CacheNews) int { return 48 + PartBytes*len(n.Stored) + 8*len(n.Dropped) })
 	return used
 }
 
 // newest returns the last of all that fit room beside what is used already.
-func newest[T any](all []T, used *int, room int, size func(T) int) []T {
+func newest[T any](all []T, used *int, budget int, size func(T) int) []T {
 	from := len(all)
-	for from > 0 && *used+size(all[from-1]) <= room {
+	for from > 0 && *used+size(all[from-1]) <= budget {
 		from--
 		*used += size(all[from])
 	}
