--- a/cache/view.go
+++ b/cache/view.go
@@ -1,82 +1,82 @@
-// Package cache keeps an agent's view of its engine's prefix cache, made from
-// cache events that come late, out of step and with gaps. The view claims
-// only what it is sure of; the engine alone decides what it reuses.
+// Package cache maintains an agent's view of its engine's prefix cache from cache
+// events, which may be late, duplicated or lost. The view reports a block as cached
+// only if that is certain; what is reused is decided by the engine alone.
 package cache
 
-// Event is one cache event of an engine.
+// Event is one change of an engine's cache.
 type Event struct {
 	BootID string
-	// Seq grows by one with every event of a boot.
+	// Seq increases by one with every event of a boot.
 	Seq uint64
-	// Removed blocks left before Stored ones came. Stored is a run of a chain
-	// whose first block follows Parent.
+	// Removed blocks were evicted before the Stored ones were added. Stored is a part
+	// of a chain whose first block follows Parent.
 	Removed []uint64
 	Parent  uint64
 	Stored  []uint64
 }
 
-// Block is one cached block and the block before it in its chain.
+// Block is a cached block and its predecessor in the chain.
 type Block struct {
 	Hash   uint64
 	Parent uint64
 }
 
-// Dump is everything an engine has cached after the event Seq.
+// Dump is the complete content of an engine's cache after the event Seq.
 type Dump struct {
 	BootID string
 	Seq    uint64
 	Blocks []Block
 }
 
-// ApplyResult says what an event did to the view.
+// ApplyResult is the effect of an event on the view.
 type ApplyResult string
 
-// The verdicts on an event.
 const (
 	Applied   ApplyResult = "applied"
 	Duplicate ApplyResult = "duplicate"
-	// Gap: events before this one were lost, so older entries may be gone.
+	// Gap: events before this one were lost, so that blocks known before may have been
+	// evicted.
 	Gap ApplyResult = "gap"
-	// Rebooted: the engine came back empty.
+	// Rebooted: the engine restarted with an empty cache.
 	Rebooted ApplyResult = "rebooted"
 )
 
-// entry is one block of the view. Epoch is the view's epoch when the block
-// was last known to be cached.
+// entry is one block of the view. epoch is the view's epoch when the block was last
+// known to be cached.
 type entry struct {
 	parent uint64
 	epoch  uint32
-	// used is when the block was stored or last seen in use, in milliseconds
-	// of the caller's clock.
+	// used is when the block was stored or last in use, in milliseconds of the caller's
+	// clock.
 	used uint32
 }
 
-// View is the state. It is not safe for concurrent use.
+// View is the state of one engine's cache. It is not safe for concurrent use.
 type View struct {
 	bootID string
 	seq    uint64
-	// epoch grows with every gap. A lost event may have removed any block, so
-	// blocks of an earlier epoch are not claimed until a dump or an event
+	// epoch increases with every gap. A lost event may have evicted any block, so
+	// blocks of an earlier epoch are not reported as cached until a dump or an event
 	// confirms them.
 	epoch  uint32
 	blocks map[uint64]entry
 	gaps   bool
-	// now is the caller's clock, in milliseconds, and lifetime the mean time
-	// from a block's last use to its eviction; 0 while nothing is evicted.
+	// now is the caller's clock, in milliseconds, and lifetime the mean time from a
+	// block's last use to its eviction; 0 if nothing has been evicted.
 	now      uint32
 	lifetime float64
 }
 
-// lifetimeWeight is the weight of one evicted block in the mean lifetime.
+// lifetimeWeight is the weight of one evicted block in the moving average of lifetimes.
 const lifetimeWeight = 0.01
 
-// SetNow sets the clock by which the view tells how long blocks last.
+// SetNow sets the clock by which the lifetimes of blocks are computed.
 func (v *View) SetNow(millis uint32) {
 	v.now = millis
 }
 
-// Lifetime returns for how many milliseconds blocks last after their last
-// use; 0 while the engine evicts nothing.
+// Lifetime returns the mean time in milliseconds from a block's last use to its
+// eviction, or 0 if the engine has evicted nothing.
 func (v *View) Lifetime() float64 {
 	return v.lifetime
 }
@@ -90,8 +90,9 @@
 	})
 }
 
-// updateChain changes the entries of the chain from hash back to root, until change
-// reports one that had been changed already, as those before it then have.
+// updateChain calls change for the entries of the chain from hash back to root. It
+// stops when change reports that an entry was up to date, because its predecessors then
+// are too.
 func (v *View) updateChain(root, hash uint64, change func(e *entry) (done bool)) {
 	for hash != root {
 		e, ok := v.blocks[hash]
@@ -103,22 +104,22 @@
 	}
 }
 
-// NewView returns an empty view of an engine that was not heard from yet.
+// NewView returns an empty view of an engine whose boot is not known yet.
 func NewView() *View {
 	return &View{blocks: map[uint64]entry{}}
 }
 
-// BootID returns the engine's boot that the view is of.
+// BootID returns the boot of the engine that the view describes.
 func (v *View) BootID() string {
 	return v.bootID
 }
 
-// Seq returns the last event that the view took.
+// Seq returns the sequence number of the last event or dump applied.
 func (v *View) Seq() uint64 {
 	return v.seq
 }
 
-// Len returns how many blocks the view holds, claimed or in doubt.
+// Len returns the number of blocks, including those that are not reported as cached.
 func (v *View) Len() int {
 	return len(v.blocks)
 }
@@ -128,8 +129,8 @@
 	return v.gaps
 }
 
-// ResetOnBoot empties the view when the engine has another boot than the view's. A
-// dead engine's entries are never claimed after this returns.
+// ResetOnBoot empties the view if bootID differs from the view's, and reports whether
+// it did. Blocks of the previous boot are not reported as cached after it returns.
 func (v *View) ResetOnBoot(bootID string) bool {
 	if v.bootID == bootID {
 		return false
@@ -143,7 +144,7 @@
 	return true
 }
 
-// Apply takes one event.
+// Apply applies one event.
 func (v *View) Apply(e Event) ApplyResult {
 	if v.ResetOnBoot(e.BootID) {
 		v.applyEvent(e)
@@ -189,7 +190,8 @@
 	v.lifetime += lifetimeWeight * (lifetime - v.lifetime)
 }
 
-// Resync replaces the view by a dump. A dump older than the view is ignored.
+// Resync replaces the view by a dump. It ignores a dump older than the view and reports
+// whether the dump was applied.
 func (v *View) Resync(d Dump) bool {
 	v.ResetOnBoot(d.BootID)
 	if d.Seq < v.seq {
@@ -209,8 +211,8 @@
 	return true
 }
 
-// HasChain reports whether the chain from root up to hash is claimed whole: an
-// engine can't use a block whose predecessors are gone.
+// HasChain reports whether every block of the chain from root to hash is known to be
+// cached. The engine can't use a block whose predecessors were evicted.
 func (v *View) HasChain(root, hash uint64) bool {
 	for range len(v.blocks) + 1 {
 		if hash == root {
@@ -225,8 +227,8 @@
 	return false
 }
 
-// Confirm marks the chain up to hash as cached now, because the engine has
-// just said in an answer that it used it.
+// Confirm marks the chain up to hash as cached now, after the engine has reported in a
+// response that it reused it.
 func (v *View) Confirm(root, hash uint64) {
 	v.updateChain(root, hash, func(e *entry) bool {
 		done := e.epoch == v.epoch
@@ -235,8 +237,8 @@
 	})
 }
 
-// LongestPrefix returns the index of the deepest of the boundary hashes, shortest
-// first, that is claimed whole, or -1.
+// LongestPrefix returns the index of the deepest of the boundary hashes, given shortest
+// first, whose chain is completely cached, or -1.
 func (v *View) LongestPrefix(root uint64, hashes []uint64) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		if v.HasChain(root, hashes[i]) {
--- a/cache/view_test.go
+++ b/cache/view_test.go
@@ -8,7 +8,7 @@
 
 const root = uint64(7)
 
-// model is an engine's true cache: chains of blocks that grow and lose their ends.
+// model is an engine's actual cache: chains of blocks that grow and lose their ends.
 type model struct {
 	boot   string
 	seq    uint64
@@ -63,11 +63,8 @@
 	return d
 }
 
-// A user whose prompt is sent to a runner for a prefix that is not there
-// waits for it to be computed again. The order: an engine evicts a block, the
-// event of it is lost or late, an entry asks. The cause would be a view that
-// claims what a lost event may have removed. Events are lost, sent twice and
-// overtaken by dumps and new boots here; what is claimed must be there.
+// A prompt routed to an evicted prefix is computed again. It happens if the view
+// reports blocks whose eviction event was lost, late or overtaken by a dump or reboot.
 func TestViewClaimsOnlyCachedBlocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{boot: "a", blocks: map[uint64]uint64{}}
@@ -97,15 +94,15 @@
 
 func checkClaims(t *rapid.T, v *View, m *model) {
 	if v.BootID() != m.boot || v.Seq() != m.seq {
-		// Events are still on their way; the view may only be late, not wrong.
+		// Events are still in transit; the view may be late but not wrong.
 		return
 	}
 	for h := uint64(100); h <= 120; h++ {
 		if v.HasChain(root, h) && m.blocks[h] == 0 {
-			t.Fatalf("claims block %d, which the engine does not have", h)
+			t.Fatalf("block %d is reported as cached, but the engine does not have it", h)
 		}
 		if !v.HasGaps() && !v.HasChain(root, h) && m.blocks[h] != 0 {
-			t.Fatalf("does not claim block %d, though no event was lost", h)
+			t.Fatalf("block %d is not reported as cached, though no event was lost", h)
 		}
 	}
 }
@@ -132,17 +129,17 @@
 	}
 }
 
-// After a gap only what was confirmed since is claimed.
+// After a gap, only blocks confirmed since then are reported as cached.
 func TestViewConfirm(t *testing.T) {
 	v := NewView()
 	v.Resync(Dump{BootID: "a", Seq: 1, Blocks: []Block{{1, root}, {2, 1}, {3, 2}}})
 	v.Apply(Event{BootID: "a", Seq: 9})
 	if v.LongestPrefix(root, []uint64{1, 2, 3}) != -1 {
-		t.Fatal("claims blocks that a lost event may have removed")
+		t.Fatal("blocks that a lost event may have evicted are reported as cached")
 	}
 	v.Confirm(root, 2)
 	if got := v.LongestPrefix(root, []uint64{1, 2, 3}); got != 1 {
-		t.Errorf("claims up to %d, want 1", got)
+		t.Errorf("deepest cached boundary %d, want 1", got)
 	}
 }
 
@@ -157,8 +154,8 @@
 	}
 }
 
-// BenchmarkApply is one cache event: 370 a second come to an agent at the
-// size of two years from now.
+// BenchmarkApply measures one cache event. An agent receives 370 a second at the size
+// expected in two years.
 func BenchmarkApply(b *testing.B) {
 	v := NewView()
 	const capacity = 40000
@@ -172,7 +169,7 @@
 	}
 }
 
-// BenchmarkLongest is the look-up for one question: a prompt of 12,800 tokens.
+// BenchmarkLongest measures the look-up for one query with a prompt of 12,800 tokens.
 func BenchmarkLongest(b *testing.B) {
 	v := NewView()
 	for n := uint64(1); n <= 40000; n++ {
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock tells time that goes on while a machine is suspended. The
-// steady clock stops then and the time of day may be set, so neither can
-// bound how old a piece of knowledge is.
+// Package clock provides a clock that continues while the VM is suspended. Go's
+// monotonic clock stops during suspension and the wall clock can be set, so neither
+// bounds the age of cached data.
 package clock
 
 import (
@@ -10,32 +10,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// BootTime is a moment on the clock that counts since the machine's start,
-// suspended or not.
+// BootTime is the time since the VM booted, including time spent suspended.
 type BootTime time.Duration
 
-// Now returns the present moment.
+// Now returns the current time.
 func Now() BootTime {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Every kernel since 2.6.39 has this clock; without it nothing may be
-		// taken for fresh, and the zero moment is long ago to none.
+		// Every Linux kernel since 2.6.39 has CLOCK_BOOTTIME, so the call is not
+		// expected to fail. No data may count as fresh without the clock; returning 0
+		// does not ensure that by itself.
 		return 0
 	}
 	return BootTime(t.Nano())
 }
 
-// Since returns how long ago a moment was.
+// Since returns the time elapsed since b.
 func (b BootTime) Since() time.Duration {
 	return time.Duration(Now() - b)
 }
 
-// Add returns the moment d later.
+// Add returns b+d.
 func (b BootTime) Add(d time.Duration) BootTime {
 	return b + BootTime(d)
 }
 
-// Sleep waits for d, or until ctx ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -1,6 +1,6 @@
-// Package follow keeps a process's view current with what lies in the
-// platform's store: it lists once, then watches, lists anew where history was
-// lost, and knows how old its knowledge is.
+// Package follow keeps a local view of the keys under a prefix of the platform's store.
+// It lists the keys once and then watches for changes, lists them again if the store
+// has compacted the history it needs, and tracks the age of the view.
 package follow
 
 import (
@@ -14,31 +14,30 @@
 	"acaciakeel/store"
 )
 
-// Handler takes what was read.
+// Handler receives the contents of the store.
 type Handler interface {
-	// Reset replaces everything known by a listing of the given revision.
+	// Reset replaces the whole view by a listing at the given revision.
 	Reset(entries []store.Entry, revision int64)
-	// Apply takes changes in their order.
+	// Apply applies changes in their order.
 	Apply(events []store.Event)
 }
 
-// Options bounds the watching.
+// Options configures a Follower.
 type Options struct {
-	// WatchTimeout is how long the store holds a watch back without news. The view is
-	// confirmed once in this time.
+	// WatchTimeout is how long the store holds a watch call open without changes. It is
+	// also the interval at which an idle view is confirmed.
 	WatchTimeout time.Duration
-	// BatchDelay is the pause after news before the next watch, so that changes
-	// that come together cost one call.
+	// BatchDelay is the pause after a watch that returned changes, so that changes in
+	// quick succession are fetched by one call.
 	BatchDelay time.Duration
-	// PeerTimeout, where set, returns for how long the process lives on what others
-	// confirmed before it calls the store itself; 0 is not at all.
+	// PeerTimeout, if set, returns how long the follower relies on its peers'
+	// confirmations before it calls the store itself. With 0 it does not rely on them.
 	PeerTimeout func() time.Duration
-	// OnWatch, where set, is told why each watch is made.
+	// OnWatch, if set, is called with the reason for each watch.
 	OnWatch func(Reason)
 }
 
-// Follower follows the keys below a prefix. Its methods may be called by several
-// goroutines.
+// Follower follows the keys under a prefix. Its methods are safe for concurrent use.
 type Follower struct {
 	store   store.Store
 	prefix  string
@@ -46,22 +45,23 @@
 	handler Handler
 	log     logrus.FieldLogger
 	listed  atomic.Bool
-	// confirmedAt is a moment up to which the view is known to be complete.
+	// confirmedAt is the latest time at which the view is known to have been complete.
 	confirmedAt atomic.Int64
-	// unreachableSince is when the store was first not reached, 0 while it is; back is
-	// when it last came back.
+	// unreachableSince is the time of the first of the current run of failed calls, or
+	// 0 while the store is reachable. recoveredAt is when the store last became
+	// reachable again.
 	unreachableSince atomic.Int64
 	recoveredAt      atomic.Int64
 	sharedWatch
 }
 
-// New returns a follower that has not begun.
+// New returns a follower; Run starts it.
 func New(s store.Store, prefix string, options Options, handler Handler, log logrus.FieldLogger) *Follower {
 	return &Follower{store: s, prefix: prefix, options: options, handler: handler, log: log, sharedWatch: sharedWatch{wakeup: make(chan struct{}, 1)}}
 }
 
-// Age returns how long ago the view was last known to be current, on a clock
-// that goes on while the machine is suspended. ok is false before the first listing.
+// Age returns the time since the view was last known to be current, including time
+// during which the VM was suspended. ok is false before the first listing.
 func (f *Follower) Age() (age time.Duration, ok bool) {
 	if !f.listed.Load() {
 		return 0, false
@@ -69,26 +69,27 @@
 	return clock.BootTime(f.confirmedAt.Load()).Since(), true
 }
 
-// SinceRecovery returns how long ago the store came back after it could not be
-// reached; ok is false while it was always there or is away.
+// SinceRecovery returns the time since the store became reachable again. ok is false if
+// it has never been unreachable or is unreachable now.
 func (f *Follower) SinceRecovery() (since time.Duration, ok bool) {
 	recoveredAt := f.recoveredAt.Load()
 	return clock.BootTime(recoveredAt).Since(), recoveredAt != 0 && f.unreachableSince.Load() == 0
 }
 
-// Disconnected reports whether the store could not be reached at the last try.
+// Disconnected reports whether the last attempt to reach the store failed.
 func (f *Follower) Disconnected() bool {
 	return f.unreachableSince.Load() != 0
 }
 
-// Pauses after a call that failed: short at first, since most failures are one
-// lost connection, then bounded, since calls are counted and paid for.
+// Pauses after a failed call. The first is short, because most failures are a single
+// lost connection. They grow up to a bound instead of staying short, because calls are
+// billed.
 const (
 	initialBackoff = 50 * time.Millisecond
 	maxBackoff     = 400 * time.Millisecond
 )
 
-// Run follows until ctx ends.
+// Run follows the store until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	backoff := initialBackoff
 	for ctx.Err() == nil {
@@ -127,7 +128,7 @@
 	f.mu.Unlock()
 	f.confirmOwn(began)
 	f.listed.Store(true)
-	f.log.WithFields(logrus.Fields{"event": "listed", "revision": listing.Revision, "keys": len(listing.Entries)}).Info("the store was read whole")
+	f.log.WithFields(logrus.Fields{"event": "listed", "revision": listing.Revision, "keys": len(listing.Entries)}).Info("listed all keys of the store")
 	return nil
 }
 
@@ -140,18 +141,19 @@
 	}
 	if events.Compacted {
 		f.markCompacted()
-		f.log.WithFields(logrus.Fields{"event": "history_lost", "revision": after}).Warn("the store dropped its history; listing again")
+		f.log.WithFields(logrus.Fields{"event": "history_lost", "revision": after}).Warn("the store compacted the history after this revision; listing again")
 		return nil
 	}
 	f.markReachable()
 	if len(events.Events) > 0 && f.onChanges != nil {
-		// Told before the view has them: a confirmation with their revision must
-		// find them told already, or all who hear it would ask the store.
+		// Peers are sent the changes before they are applied here. Otherwise a peer
+		// could receive a confirmation of the new revision before the changes, and
+		// every peer would call the store.
 		f.onChanges(Changes{After: after, Events: events, SinceRecovery: f.sinceRecoveryOrZero()})
 	}
 	f.apply(events.Events, events.Revision)
-	// The answer says what was new after the call arrived, so the call's
-	// beginning is a moment up to which the view is complete.
+	// The response covers everything up to the arrival of the call, so the view is
+	// complete as of the time the call was made.
 	f.confirmOwn(began)
 	if len(events.Events) > 0 {
 		clock.Sleep(ctx, f.options.BatchDelay)
@@ -162,7 +164,7 @@
 func (f *Follower) markReachable() {
 	if f.unreachableSince.Swap(0) != 0 {
 		f.recoveredAt.Store(int64(clock.Now()))
-		f.log.WithField("event", "store_back").Info("the store answers again")
+		f.log.WithField("event", "store_back").Info("the store is reachable again")
 	}
 }
 
@@ -171,6 +173,6 @@
 		return
 	}
 	if f.unreachableSince.CompareAndSwap(0, int64(clock.Now())) {
-		f.log.WithError(err).WithField("event", "store_lost").Warn("the store can't be reached; what is known serves on")
+		f.log.WithError(err).WithField("event", "store_lost").Warn("the store is unreachable; continuing with the last known view")
 	}
 }
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -14,8 +14,8 @@
 	"acaciakeel/store"
 )
 
-// scriptedStore is a store whose answers are given one by one; once they are used up
-// it blocks.
+// scriptedStore is a store with prepared answers. When they are used up, calls block
+// until their context ends.
 type scriptedStore struct {
 	store.Store
 	mu      sync.Mutex
@@ -54,7 +54,7 @@
 	return e, err
 }
 
-// recorder keeps the keys that a follower passed on.
+// recorder logs what a follower passes to its handler.
 type recorder struct{ log []string }
 
 func (s *recorder) Reset(entries []store.Entry, revision int64) {
@@ -87,9 +87,8 @@
 	return store.Event{Entry: store.Entry{Key: key, Revision: revision}, Deleted: deleted}
 }
 
-// The store drops its history while the connection is cut, so that changes are
-// lost: operators saw a key work on that had been taken away. After the loss all
-// is listed anew, and no change before it is passed on twice.
+// The store compacts its history during a lost connection, so a key's deletion is
+// missed. The follower must list again and apply no earlier change twice.
 func TestListsAgainAfterCompaction(t *testing.T) {
 	s, target, _ := runScript(t,
 		store.Listing{Revision: 5, Entries: []store.Entry{{Key: "a"}}},
@@ -99,33 +98,32 @@
 		store.Listing{Revision: 9, Entries: []store.Entry{{Key: "a"}, {Key: "c"}}},
 	)
 	if got := fmt.Sprint(s.calls); got != "[list watch 5 watch 6 watch 6 list watch 9]" {
-		t.Errorf("called %s", got)
+		t.Errorf("store calls: %s", got)
 	}
 	if got := fmt.Sprint(target.log); got != "[reset 1 at 5 b deleted=false reset 2 at 9]" {
-		t.Errorf("passed on %s", got)
+		t.Errorf("handler calls: %s", got)
 	}
 }
 
-// A first listing that fails is tried again, and nothing is known until one came.
+// A failed first listing is retried. The view has no age until one succeeds.
 func TestFirstListingIsRetried(t *testing.T) {
 	s, _, f := runScript(t, errDisconnected, errDisconnected, store.Listing{Revision: 1})
 	if got := fmt.Sprint(s.calls); got != "[list list list watch 1]" {
-		t.Errorf("called %s", got)
+		t.Errorf("store calls: %s", got)
 	}
 	if _, ok := f.Age(); !ok {
-		t.Error("nothing is known after a listing")
+		t.Error("the view has no age after a listing")
 	}
 	if _, back := f.SinceRecovery(); !back {
-		t.Error("the store's return was not noted")
+		t.Error("the store's recovery was not recorded")
 	}
 }
 
-// An answer without news whose revision is older, as a restored store may give,
-// must not take the watch back: changes would be passed on again, and older
-// configurations with them.
+// A restored store may answer a watch with an older revision. Following it would apply
+// old changes, and with them old configurations, again.
 func TestRevisionNeverGoesBack(t *testing.T) {
 	s, _, _ := runScript(t, store.Listing{Revision: 5}, store.Events{Revision: 3})
 	if got := fmt.Sprint(s.calls); got != "[list watch 5 watch 5]" {
-		t.Errorf("called %s", got)
+		t.Errorf("store calls: %s", got)
 	}
 }
--- a/follow/share.go
+++ b/follow/share.go
@@ -9,57 +9,58 @@
 	"acaciakeel/store"
 )
 
-// sharedWatch is the part of a follower by which processes share one watch: one of them
-// calls the store and tells the others, who call only when they have heard nothing
-// for a while, or missed a change. What each knows, and how old that is at most, is
-// the same as with a watch of its own, at one call in place of many: with a watch
-// each, 103 processes made 4.3 calls a second each.
+// sharedWatch is the state by which several processes share one watch. One process
+// calls the store and sends the changes to its peers. A peer calls the store only if it
+// has received no confirmation for PeerTimeout or has missed a change. The bound on the
+// age of each view is the same as with separate watches, which cost 4.3 calls a second
+// for each of 103 processes.
 type sharedWatch struct {
 	mu sync.Mutex
-	// revision is up to where the view has all changes.
+	// revision is the revision up to which the view has all changes.
 	revision int64
 	// compacted is set while the store no longer has the changes after revision.
 	compacted bool
-	// ownConfirmedAt is the last moment up to which a call of this process's own confirmed
-	// the view, served that up to which one did whose turn comes before.
+	// ownConfirmedAt is the time as of which the process's own calls last confirmed the
+	// view, peerConfirmedAt the same for confirmations by peers that rank before it.
 	ownConfirmedAt  clock.BootTime
 	peerConfirmedAt clock.BootTime
-	// behind is set where another process knows of changes that this one missed.
+	// behind is set if a peer knows of changes that this process has missed.
 	behind bool
 	wakeup chan struct{}
-	// onChanges is called with the changes that an own watch brought.
+	// onChanges is called with the changes returned by the process's own watches.
 	onChanges func(Changes)
 }
 
-// Changes are what a watch brought beyond a revision.
+// Changes are the events of one watch after the revision After.
 type Changes struct {
 	After  int64
 	Events store.Events
-	// SinceRecovery is how long ago the store came back, by who tells this; 0 where it
-	// was always there. Entries that vanish then may only have lapsed.
+	// SinceRecovery is the time since the store became reachable again, as seen by the
+	// sender, or 0 if it never was unreachable. Shortly after a recovery, deleted
+	// entries may only have expired.
 	SinceRecovery time.Duration
 }
 
-// Confirmation is what a process says of its view: that it has all changes up to
-// a revision, and how long ago it was complete.
+// Confirmation states that a process's view has all changes up to a revision, and how
+// long ago it was known to be complete.
 type Confirmation struct {
 	Revision      int64
 	Age           time.Duration
 	SinceRecovery time.Duration
 }
 
-// OnChanges has called told with the changes that this process's own watches bring.
-// It is set before the follower runs.
+// OnChanges sets the function that is called with the changes returned by the process's
+// own watches. It must be called before Run.
 func (f *Follower) OnChanges(notify func(Changes)) {
 	f.onChanges = notify
 }
 
-// maxConfirmationAge is for how long a call of its own lets a process confirm the view to
-// others: beyond it, it has left the watching to them.
+// maxConfirmationAge is how long after its own call a process may confirm the view to
+// its peers. A process whose last call is older relies on its peers itself.
 const maxConfirmationAge = 2 * time.Second
 
-// Confirmation returns what this process can confirm to the others by its own
-// calls; ok is false where that is nothing.
+// Confirmation returns what the process can confirm to its peers from its own calls. ok
+// is false if there is no listing or the last call is too old.
 func (f *Follower) Confirmation() (c Confirmation, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -67,7 +68,7 @@
 	return c, f.listed.Load() && f.ownConfirmedAt != 0 && c.Age < maxConfirmationAge
 }
 
-// sinceRecoveryOrZero returns how long ago the store came back; 0 where it was always there.
+// sinceRecoveryOrZero is SinceRecovery, with 0 for a store that has not recovered.
 func (f *Follower) sinceRecoveryOrZero() time.Duration {
 	since, ok := f.SinceRecovery()
 	if !ok {
@@ -76,9 +77,9 @@
 	return max(since, 1)
 }
 
-// ReceiveChanges takes changes that another process's watch brought. Where this one lacks
-// some before them it will ask the store itself; while it lists, it takes none, as
-// the listing may be older than they are.
+// ReceiveChanges applies the changes that a peer's watch returned. If changes before
+// them are missing, the follower calls the store. While a new listing is needed,
+// changes are ignored, because the listing may be older than they are.
 func (f *Follower) ReceiveChanges(c Changes) {
 	if !f.listed.Load() || f.isCompacted() {
 		return
@@ -91,10 +92,11 @@
 	f.apply(c.Events.Events, c.Events.Revision)
 }
 
-// ReceiveConfirmation takes another process's confirmation that was given after a
-// moment of this process's clock: whatever happened to it on its way, the view was
-// complete its age before that moment. before is set where the other one's turn to
-// watch comes before this one's.
+// ReceiveConfirmation applies a confirmation that a peer sent after sentAfter, a time
+// of this process's clock. It may have been delayed in transit, so the view counts as
+// complete only up to the confirmation's age before sentAfter. senderRanksBefore is set
+// if the peer precedes this process in the order in which processes take over the
+// watch.
 func (f *Follower) ReceiveConfirmation(c Confirmation, sentAfter clock.BootTime, senderRanksBefore bool) {
 	if !f.listed.Load() {
 		return
@@ -114,7 +116,8 @@
 	f.advanceConfirmed(completeAt)
 }
 
-// receiveRecovery takes another process's word on when the store came back.
+// receiveRecovery records a peer's time since the store's recovery, if it is more
+// recent than the known one.
 func (f *Follower) receiveRecovery(since time.Duration) {
 	if since <= 0 {
 		return
@@ -124,22 +127,23 @@
 	}
 }
 
-// Reason is why a process watches the store itself; each is a label of the counter
-// of watches.
+// Reason is why a process calls the store's watch. It is the label of the counter of
+// watches.
 type Reason string
 
 // The reasons for a watch.
 const (
-	// ReasonFirstInRank: it watches for the others, or there are none.
+	// ReasonFirstInRank: the process watches on behalf of its peers or has none.
 	ReasonFirstInRank Reason = "turn"
-	// ReasonBehind: another process knows of changes that this one lacks.
+	// ReasonBehind: a peer knows of changes that this process has missed.
 	ReasonBehind Reason = "behind"
-	// ReasonPeersSilent: nobody whose turn comes before has confirmed the view for too long.
+	// ReasonPeersSilent: no peer that ranks before this process has confirmed the view
+	// within PeerTimeout.
 	ReasonPeersSilent Reason = "unheard"
 )
 
-// untilWatch returns for how long this process may go on without a call of its own, and
-// where that is over, why.
+// untilWatch returns the time until the process has to call the store itself, and the
+// reason for that call.
 func (f *Follower) untilWatch() (time.Duration, Reason) {
 	if !f.listed.Load() || f.options.PeerTimeout == nil {
 		return 0, ReasonFirstInRank
@@ -164,10 +168,10 @@
 	}
 }
 
-// peerRetryDelay returns for how long a process that could not reach the store leaves
-// trying to those whose turn comes before. Refused calls are paid for too: with a
-// store that is away for eight seconds, a hundred entries that each try by
-// themselves make three thousand. Whoever reaches it first tells the others.
+// peerRetryDelay returns how long a process that could not reach the store leaves
+// further attempts to the peers that rank before it; the first one to succeed notifies
+// the others. Failed calls are billed too: during an outage of eight seconds a hundred
+// nodes that retry independently make three thousand calls.
 func (f *Follower) peerRetryDelay() time.Duration {
 	if !f.listed.Load() || f.options.PeerTimeout == nil {
 		return 0
@@ -175,7 +179,7 @@
 	return f.options.PeerTimeout()
 }
 
-// wait waits for d, or until there is something that others know.
+// wait waits for d, or until a peer is known to have newer changes.
 func (f *Follower) wait(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -186,7 +190,8 @@
 	}
 }
 
-// requestWatch has the store asked, as another process knows more.
+// requestWatch ends the current wait and makes the next call due at once, because a
+// peer has newer changes.
 func (f *Follower) requestWatch() {
 	f.mu.Lock()
 	f.behind = true
@@ -203,7 +208,8 @@
 	return f.revision
 }
 
-// apply passes those changes on that are news, up to a revision.
+// apply passes the events after the current revision to the handler and advances the
+// revision.
 func (f *Follower) apply(events []store.Event, revision int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -219,7 +225,8 @@
 	}
 }
 
-// confirmOwn notes that a call of this process's own confirmed the view.
+// confirmOwn records that one of the process's own calls confirmed the view as of
+// completeAt.
 func (f *Follower) confirmOwn(completeAt clock.BootTime) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -227,14 +234,16 @@
 	f.advanceConfirmed(completeAt)
 }
 
-// advanceConfirmed notes that the view is complete up to a moment; the caller holds mu.
+// advanceConfirmed records that the view was complete as of completeAt. The caller
+// holds mu.
 func (f *Follower) advanceConfirmed(completeAt clock.BootTime) {
 	if int64(completeAt) > f.confirmedAt.Load() {
 		f.confirmedAt.Store(int64(completeAt))
 	}
 }
 
-// markCompacted notes that the store no longer has the changes that come next.
+// markCompacted records that the store no longer has the changes after the current
+// revision.
 func (f *Follower) markCompacted() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,6 +1,5 @@
-// Package lease keeps one lease of a process in the platform's store, and the
-// keys that hang on it: the sign that the process is alive, and the offices
-// that it holds.
+// Package lease maintains a process's lease in the platform's store. The keys attached
+// to the lease show that the process is alive and which leader roles it holds.
 package lease
 
 import (
@@ -13,12 +12,12 @@
 	"acaciakeel/store"
 )
 
-// Session is one process's lease. It is safe for concurrent use.
+// Session is the lease of one process. It is safe for concurrent use.
 type Session struct {
 	store store.Store
 	ttl   time.Duration
-	// margin is kept from the end of the lease: whoever relies on the lease
-	// may still be about to act when it looks.
+	// margin is subtracted from the end of the lease, because a caller may act for a
+	// short while after it has checked the lease.
 	margin time.Duration
 
 	mu         sync.Mutex
@@ -27,18 +26,18 @@
 	closed     bool
 }
 
-// NewSession returns a session whose lease lapses ttl after its last renewal,
-// and is not relied on for the last margin of it.
+// NewSession returns a session whose lease expires ttl after its last renewal. Valid
+// reports false for the last margin of that time.
 func NewSession(s store.Store, ttl, margin time.Duration) *Session {
 	return &Session{store: s, ttl: ttl, margin: margin}
 }
 
-// renewalsPerTTL is how many times a lease is renewed within its time, so that one
-// or two lost renewalsPerTTL don't end it.
+// renewalsPerTTL is how many times a lease is renewed within its TTL, so that one or
+// two lost renewals don't end it.
 const renewalsPerTTL = 4
 
-// Run keeps the lease until ctx ends. After each new grant it calls granted,
-// which puts the keys that hang on the lease.
+// Run grants and renews the lease until ctx ends. After each new grant it calls
+// granted, which must write the keys attached to the lease.
 func (s *Session) Run(ctx context.Context, granted func(context.Context, store.LeaseID)) {
 	ticker := time.NewTicker(s.ttl / renewalsPerTTL)
 	defer ticker.Stop()
@@ -54,10 +53,11 @@
 	}
 }
 
-// renewOrGrant renews the lease or takes a new one, and reports whether it is new.
+// renewOrGrant renews the lease, or requests a new one if the store no longer has it.
+// It reports whether the lease is new.
 func (s *Session) renewOrGrant(ctx context.Context) bool {
-	// The lease runs from the arrival of the call at the store, which is later
-	// than its sending; so the sending is the moment to count from.
+	// The TTL starts when the call arrives at the store, which is after it was sent, so
+	// counting from the time of sending never overestimates the lease.
 	sentAt := clock.Now()
 	id := s.ID()
 	if id != "" {
@@ -93,25 +93,25 @@
 	}
 }
 
-// ID returns the lease, or "" while there is none.
+// ID returns the id of the lease, or "" if there is none.
 func (s *Session) ID() store.LeaseID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.id
 }
 
-// Valid reports whether the lease holds for at least the margin from now on.
-// It looks at a clock that a suspended machine can't stop, so a process that
-// slept beyond its lease knows at once.
+// Valid reports whether the lease lasts for at least the margin from now. It uses a
+// clock that continues while the VM is suspended, so that a process that was suspended
+// beyond its lease detects this at once.
 func (s *Session) Valid() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.id != "" && clock.Now() < s.validUntil
 }
 
-// Remaining returns for how long the lease lasts at least; 0 once it may have lapsed. What
-// acts by the lease ends by then: a call that was made in time may be held up on its way,
-// and would take effect beside another holder's.
+// Remaining returns the least time for which the lease still lasts, or 0 if it may have
+// expired. It is the deadline for calls made under the lease: a call sent in time may
+// be delayed on its way and would take effect while another process holds the lease.
 func (s *Session) Remaining() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +121,7 @@
 	return max(0, time.Duration(s.validUntil.Add(s.margin)-clock.Now()))
 }
 
-// Close gives the lease up for good, so that its keys vanish at once.
+// Close revokes the lease permanently, so that the store deletes its keys at once.
 func (s *Session) Close(ctx context.Context) error {
 	id := s.ID()
 	s.set("", 0)
--- a/lru/parts.go
+++ b/lru/parts.go
@@ -1,13 +1,13 @@
-// Package lru holds what is believed to be in a cache of parts of prompts.
+// Package lru tracks which prompt parts a cache is expected to contain.
 package lru
 
-// Cache are parts of prompts by their hashes, each with its tokens. Beyond a
-// capacity those unused for longest are forgotten, as a cache by last use does. New
-// returns them empty; they are not safe for concurrent use.
+// Cache is a set of prompt parts, each given by its hash and token count. Beyond a
+// capacity in tokens the least recently used parts are evicted. It is not safe for
+// concurrent use.
 type Cache struct {
 	entries map[uint64]*entry
 	tokens  int
-	// head and tail of the list by last use, newest first.
+	// head and tail of the list by last use, most recent first.
 	head, tail *entry
 }
 
@@ -17,18 +17,17 @@
 	prev, next *entry
 }
 
-// New returns no parts.
 func New() *Cache {
 	return &Cache{entries: map[uint64]*entry{}}
 }
 
-// Has reports whether a part is held.
 func (p *Cache) Has(hash uint64) bool {
 	return p.entries[hash] != nil
 }
 
-// Use notes that a part was sent, and forgets the parts unused for longest
-// beyond capacity tokens; a capacity of 0 is no bound.
+// Use marks a part as most recently used, adding it if it is missing, and evicts the
+// least recently used other parts while the total exceeds capacity tokens. A capacity
+// of 0 means unlimited.
 func (p *Cache) Use(hash uint64, tokens, capacity int) {
 	e := p.entries[hash]
 	if e == nil {
@@ -44,12 +43,12 @@
 	}
 }
 
-// Len returns how many parts there are.
+// Len returns the number of parts.
 func (p *Cache) Len() int {
 	return len(p.entries)
 }
 
-// Remove takes a part out that the runner no longer has.
+// Remove deletes a part that the modelled cache no longer contains.
 func (p *Cache) Remove(hash uint64) {
 	if e := p.entries[hash]; e != nil {
 		p.evict(e)
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -15,7 +15,7 @@
 		want Step
 	}{
 		{"has its weights", with(func(i *Input) { i.Loaded = "v2" }), NoStep},
-		{"is away", with(func(i *Input) { i.EngineUp = false }), NoStep},
+		{"engine is down", with(func(i *Input) { i.EngineUp = false }), NoStep},
 		{"no slot yet", old, AcquireSlot},
 		{"requests run", with(func(i *Input) { i.SlotHeld = true }), Drain},
 		{"idle with a slot", with(func(i *Input) { i.SlotHeld, i.Idle = true, true }), Load},
--- a/peering/peering.go
+++ b/peering/peering.go
@@ -1,10 +1,10 @@
-// Package peering divides the processes of the system into groups whose members
-// tell each other everything, and says which of them relay a group's news to the
-// other groups. It is pure: every process works out the same plan from the same
-// list of members, so that nothing has to be agreed.
+// Package peering divides the nodes into groups. The members of a group send their
+// updates to each other, and a few of them relay summaries between groups. The package
+// is deterministic and has no side effects: every node computes the same plan from the
+// same list of members, so that no coordination is needed.
 //
-// Were each of n processes to tell all others, each would send and hear n news a
-// round; with groups it is the size of one group and a summary of each other one.
+// With a full mesh each of n nodes would send and receive n updates a round. With
+// groups it is the size of one group plus one summary of each other group.
 package peering
 
 import (
@@ -16,56 +16,58 @@
 )
 
 const (
-	// MaxGroupSize is how many members a group has at most. At 5 ms a peer between two
-	// tellings each hears of all others of its group eight times a second, at some
-	// 200 datagrams a second in and out: a small machine's processor bears three
-	// times that.
+	// MaxGroupSize bounds the members of a group. A member sends a pulse every 5 ms per
+	// peer, so with 25 members each receives the updates of all others eight times a
+	// second: about 200 datagrams a second in each direction. The CPU of a small VM can
+	// process three times as many.
 	MaxGroupSize = 25
-	// relaysPerLink is how many members may relay news between two groups: the
-	// second does so while nothing is heard of the first.
+	// relaysPerLink is how many members of a group may relay to another group. The
+	// second one does so only while the first is silent.
 	relaysPerLink = 2
 )
 
-// Member is one process of the system.
+// Member is one process of the deployment.
 type Member struct {
-	// Key names one start of the process.
+	// Key identifies one run of the process; a restart gets a new key.
 	Key string
-	// Address is where it hears the others.
+	// Address is where the process receives datagrams.
 	Address string
-	// Zone is where it stands; empty where it did not say.
+	// Zone is the data centre of the process; empty if it is not configured.
 	Zone string
 }
 
-// Plan is what one process has to do with the others.
+// Plan is the part of one process in the exchange of updates.
 type Plan struct {
-	// Self is the process's key.
 	Self string
-	// Group is the process's group, of Groups.
+	// Group is the index of the process's group, GroupCount the number of groups.
 	Group      int
 	GroupCount int
-	// Peers are the other members of its group, in the order that all of them find.
+	// Peers are the other members of the group, in an order that all members compute
+	// alike.
 	Peers []Member
-	// Rank is how many of them come before the process in that order, for duties of
-	// which one member of a group is enough.
+	// Rank is the position of the process in that order, for duties that only one
+	// member of a group has to perform.
 	Rank int
-	// Links are the ways to the other groups.
+	// Links are the connections to the other groups.
 	Links []Link
-	// Joined is set where the process is among the members.
+	// Joined is set if the process is in the list of members.
 	Joined bool
 }
 
-// Link is the way between the process's group and another one.
+// Link is the connection between the process's group and another one.
 type Link struct {
 	Group int
-	// Relays are the keys of the own group's members that relay, first choice first.
+	// Relays are the keys of the members of the process's own group that may relay, in
+	// order of preference.
 	Relays []string
-	// RemoteAddresses are the addresses of the members that relay at the other group.
+	// RemoteAddresses are the addresses of the relays of the other group.
 	RemoteAddresses []string
 }
 
-// New returns the plan of the process with key self. Members are divided in the
-// order of their zones, so that most news stays within one, and a member that comes
-// or goes moves at most one other between any two groups.
+// New returns the plan of the process with key self. Members are grouped in the order
+// of their data centres, so that most traffic stays within one. As long as the number
+// of groups stays the same, a member that joins or leaves moves at most one other
+// member across each border between two groups.
 func New(self string, members []Member) Plan {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
@@ -94,27 +96,28 @@
 	return p
 }
 
-// RanksBefore reports whether a member's turn comes before the process's own.
+// RanksBefore reports whether the member with this key is a peer that comes before the
+// process in rank.
 func (p Plan) RanksBefore(key string) bool {
 	return containsKey(p.Peers[:p.Rank], key)
 }
 
-// HasPeer reports whether the member with a key is among those that the process tells.
+// HasPeer reports whether the member with this key is in the process's group.
 func (p Plan) HasPeer(key string) bool {
 	return containsKey(p.Peers, key)
 }
 
-// containsKey reports whether the member with a key is among some.
 func containsKey(members []Member, key string) bool {
 	return slices.ContainsFunc(members, func(m Member) bool { return m.Key == key })
 }
 
-// MayRelay reports whether the process is among those that relay on a link.
+// MayRelay reports whether the process is one of the relays of l.
 func (p Plan) MayRelay(l Link) bool {
 	return slices.Contains(l.Relays, p.Self)
 }
 
-// partition cuts the members into as few groups as may be, all of one size but for one.
+// partition divides the sorted members into the smallest number of groups, whose sizes
+// differ by at most one.
 func partition(sorted []Member) [][]Member {
 	n := (len(sorted) + MaxGroupSize - 1) / MaxGroupSize
 	groups := make([][]Member, n)
@@ -136,14 +139,15 @@
 	return l
 }
 
-// relays returns the members of one group that relay between it and another.
+// relays returns the members of one group that may relay to another.
 func relays(groups [][]Member, from, to int) []Member {
 	candidates := ranked(groups[from], "to group "+strconv.Itoa(to))
 	return candidates[:min(relaysPerLink, len(candidates))]
 }
 
-// ranked returns members in an order by rendezvous, which differs with each duty so
-// that duties spread, and stays for the rest when one comes or goes.
+// ranked orders members by rendezvous hashing. Each duty has another order, which
+// spreads the duties, and the relative order of members does not change when one joins
+// or leaves.
 func ranked(members []Member, duty string) []Member {
 	hash := prefix.NameHash(duty)
 	out := slices.Clone(members)
--- a/peering/peering_test.go
+++ b/peering/peering_test.go
@@ -14,10 +14,9 @@
 	return out
 }
 
-// Beyond 40 entries each told 12 others once a second, and prompts went to runners
-// that a hundred other entries had filled. At any size now, what one entry knows
-// must reach every other one, by hops that all of them find alike, and each must
-// tell and hear a bounded number: no size may be a cliff.
+// With over 40 nodes each one updated only 12 others a second, so prompts went to
+// runners that a hundred other nodes had filled. Updates must reach all, with bounded
+// traffic.
 func TestUpdatesReachAllMembersAtAnySize(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 20, 25, 26, 40, 41, 50, 51, 103, 300, 370, 1000} {
 		all := members(n)
@@ -35,14 +34,14 @@
 			}
 			for _, l := range p.Links {
 				if len(l.RemoteAddresses) == 0 || len(l.Relays) == 0 {
-					t.Fatalf("%d members: no way from group %d to %d", n, p.Group, l.Group)
+					t.Fatalf("%d members: no link from group %d to %d", n, p.Group, l.Group)
 				}
 				if l.Relays[0] == key {
 					relayLinks[key]++
 				}
 				far := plans[byAddress[l.RemoteAddresses[0]]]
 				if far.Group != l.Group || far.Links[slices.IndexFunc(far.Links, func(b Link) bool { return b.Group == p.Group })].Relays[0] != byAddress[l.RemoteAddresses[0]] {
-					t.Fatalf("%d members: group %d relays to one of group %d that does not expect it", n, p.Group, l.Group)
+					t.Fatalf("%d members: group %d relays to a member of group %d that is not its first relay", n, p.Group, l.Group)
 				}
 				reached[byAddress[l.RemoteAddresses[0]]] = true
 				for _, peer := range far.Peers {
@@ -50,12 +49,12 @@
 				}
 			}
 			if len(reached) != n {
-				t.Errorf("%d members: news of %s reaches %d", n, key, len(reached))
+				t.Errorf("%d members: updates of %s reach %d", n, key, len(reached))
 			}
 			maxPeers = max(maxPeers, len(p.Peers))
 		}
 		if maxPeers >= MaxGroupSize {
-			t.Errorf("%d members: one tells %d", n, maxPeers)
+			t.Errorf("%d members: one has %d peers", n, maxPeers)
 		}
 		for key, d := range relayLinks {
 			if d > 8 {
@@ -65,8 +64,8 @@
 	}
 }
 
-// Machines are added and replaced all day. One that comes or goes must not deal all
-// groups anew: each would hear strangers and forget those that it knew.
+// If a member that joins or leaves regrouped all others, each node would exchange
+// updates with new peers and lose what it knew of the old ones.
 func TestGroupsStableOnMembershipChange(t *testing.T) {
 	all := members(103)
 	before := map[string]int{}
@@ -81,16 +80,16 @@
 		}
 	}
 	if moved > New("m/0", all).GroupCount {
-		t.Errorf("%d of 102 changed their group when one left", moved)
+		t.Errorf("%d of 102 members changed groups when one left", moved)
 	}
 }
 
-// A process that is not enrolled yet, or just left, has nobody to share duties with.
+// A process that is not yet or no longer a member shares no duties.
 func TestPlanOfNonMember(t *testing.T) {
 	if p := New("stranger", members(30)); p.Joined || len(p.Peers) != 0 || len(p.Links) != 0 {
-		t.Errorf("one that is no member has the plan %+v", p)
+		t.Errorf("plan of a non-member: %+v", p)
 	}
 	if p := New("stranger", nil); p.Joined || p.GroupCount != 0 {
-		t.Errorf("without members the plan is %+v", p)
+		t.Errorf("plan without members: %+v", p)
 	}
 }
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -1,6 +1,6 @@
-// Package prefix computes the hashes by which prompts that start alike are
-// known to be alike: one chain of block hashes for each prompt, of which the
-// ends of messages and pieces are the boundaries that routing looks at.
+// Package prefix computes the hashes by which requests with a common prompt prefix are
+// recognized. A prompt is a chain of block hashes; the ends of its messages and of its
+// fixed-size pieces are the boundaries used for routing.
 package prefix
 
 import (
@@ -12,24 +12,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BytesPerToken is how many bytes of text make one token. Engines whose
-// tokenizer differs make boundaries less exact, never wrong: the hashes are
-// of bytes, and reuse is decided by the engine's own cache.
+// BytesPerToken is the assumed number of bytes of text per token. For engines with
+// another tokenizer the boundaries become less precise but remain correct: the hashes
+// are computed over bytes, and the engine's own cache decides what is reused.
 const BytesPerToken = 4
 
-// MaxBoundaries bounds the boundaries of one prompt, and so the bytes of a
-// question to an agent. Where there are more, the deepest are kept, and the
-// first MaxLevels.
+// MaxBoundaries bounds the boundaries of one prompt, and so the size of a query to an
+// agent. If there are more, the first MaxLevels and the deepest are kept.
 const MaxBoundaries = 10
 
-// MaxLevels is how many of the outermost message ends placement nests by.
+// MaxLevels is how many of the outermost message ends are used as levels for placement.
 const MaxLevels = 3
 
-// MinLevelTokens is how deep a message end must be to count as a level: a
-// shorter prefix costs less to compute anew than runners to be tied to it.
+// MinLevelTokens is the minimum depth of a message end that counts as a level.
+// Recomputing a shorter prefix costs less than restricting its requests to a few
+// runners.
 const MinLevelTokens = 1500
 
-// Salt identifies whose cache entries a request may use, and of which weights.
+// Salt identifies the set of cache entries that a request may share: those of one
+// customer, model, version of weights and adapter.
 type Salt struct {
 	Customer       string
 	Model          string
@@ -37,21 +38,20 @@
 	Adapter        string
 }
 
-// String returns the salt that the engine gets: a digest, so that no
-// customer's name reaches an engine, with each field's length in it, so that
-// two different salts never read alike.
+// String returns the salt that is sent to the engine. It is a digest, so that no
+// customer's name reaches an engine. The fields are quoted, so that different salts
+// never yield the same text.
 func (s Salt) String() string {
 	text := fmt.Sprintf("%q %q %q %q", s.Customer, s.Model, s.WeightsVersion, s.Adapter)
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:16])
 }
 
-// Root returns the hash that a chain under the salt starts from.
+// Root returns the initial hash of a chain with the given salt.
 func Root(salt string) uint64 {
 	return xxhash.Sum64String(salt)
 }
 
-// Next returns the hash of the block that follows parent.
 func Next(parent uint64, block []byte) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(parent)
@@ -59,22 +59,23 @@
 	return d.Sum64()
 }
 
-// Boundary is one point of a prompt at which reuse is asked for.
+// Boundary is a point of a prompt at which cached prefixes are looked up.
 type Boundary struct {
-	// Hash is the chain's hash at the last whole block before the point.
+	// Hash is the chain hash of the last complete block before the point.
 	Hash uint64
-	// Tokens counts the tokens up to there.
+	// Tokens counts the tokens up to that block's end.
 	Tokens int
 }
 
-// Chain is the boundaries of one prompt, shortest first.
+// Chain holds the boundaries of one prompt, shortest first.
 type Chain struct {
-	// Levels are the outermost message ends of MinLevelTokens and more,
-	// outermost first, MaxLevels at most. A shorter prompt has one: its first end.
+	// Levels are the outermost message ends of at least MinLevelTokens, outermost
+	// first, at most MaxLevels. If no message end is that deep, the only level is the
+	// first boundary.
 	Levels []Boundary
-	// Boundaries are all the points asked for, the levels among them.
+	// Boundaries are all points to look up, including the levels.
 	Boundaries []Boundary
-	// Tokens counts the whole prompt.
+	// Tokens counts the tokens of the whole prompt.
 	Tokens int
 }
 
@@ -84,13 +85,13 @@
 	Ends []int
 }
 
-// TokenCount returns how many tokens n bytes make.
+// TokenCount returns the estimated number of tokens in n bytes, rounded up.
 func TokenCount(n int) int {
 	return (n + BytesPerToken - 1) / BytesPerToken
 }
 
-// NewChain returns the chain of a prompt under a salt, for blocks and pieces
-// of the given sizes in tokens.
+// NewChain returns the chain of a prompt under a salt. blockTokens is the size of a
+// block and pieceTokens the distance of regular boundaries.
 func NewChain(salt string, p Prompt, blockTokens, pieceTokens int) Chain {
 	blockBytes := blockTokens * BytesPerToken
 	blocks := len(p.Text) / blockBytes
@@ -134,15 +135,15 @@
 	return append(kept, all[len(all)-(MaxBoundaries-MaxLevels):]...)
 }
 
-// RendezvousScore ranks a name, by its hash, under another hash for rendezvous: the
-// highest scores hold it.
+// RendezvousScore returns the rendezvous weight of a name, given by its hash, for
+// another hash. The names with the highest scores are assigned to it.
 func RendezvousScore(name uint64, hash uint64) uint64 {
 	var buf [8]byte
 	binary.LittleEndian.PutUint64(buf[:], name^hash)
 	return xxhash.Sum64(buf[:])
 }
 
-// NameHash returns the hash of a name for Score.
+// NameHash returns the hash of a name for RendezvousScore.
 func NameHash(name string) uint64 {
 	return xxhash.Sum64String(name)
 }
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Another customer's, other weights' or another adapter's entries must never
-// match: no block of two chains under different salts may have one hash.
+// Requests of different customers, weights or adapters must never share cache entries,
+// so chains under different salts must have no hash in common.
 func TestSaltsNeverShareHashes(t *testing.T) {
 	text := bytes.Repeat([]byte("the same long text "), 200)
 	p := Prompt{Text: text, Ends: []int{len(text)}}
@@ -30,7 +30,7 @@
 	}
 }
 
-// Prompts that start alike must share their boundaries up to where they part.
+// Prompts with a common prefix must have the same boundaries up to its end.
 func TestChainsShareCommonPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		common := rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "common")
@@ -42,7 +42,7 @@
 		for _, x := range one.Boundaries {
 			for _, y := range other.Boundaries {
 				if x.Tokens == y.Tokens && x.Tokens <= whole && x.Hash != y.Hash {
-					t.Fatalf("hashes differ at %d tokens of %d common", x.Tokens, whole)
+					t.Fatalf("hashes differ at %d tokens with a common prefix of %d", x.Tokens, whole)
 				}
 			}
 		}
@@ -57,18 +57,17 @@
 	p := Prompt{Text: text, Ends: []int{500 * BytesPerToken, 4000 * BytesPerToken, 9000 * BytesPerToken}}
 	c := NewChain("s", p, 16, 4000)
 	if len(c.Levels) != 3 || c.Levels[0].Tokens != 4000 || c.Levels[1].Tokens != 8992 {
-		t.Errorf("levels %+v", c.Levels)
+		t.Errorf("levels: %+v", c.Levels)
 	}
 	short := NewChain("s", Prompt{Text: text[:800], Ends: []int{400, 800}}, 16, 4000)
 	if len(short.Levels) != 1 {
-		t.Errorf("a short prompt has levels %+v", short.Levels)
+		t.Errorf("levels of a short prompt: %+v", short.Levels)
 	}
 	if empty := NewChain("s", Prompt{Text: []byte("hi")}, 16, 4000); len(empty.Boundaries) != 0 || empty.Tokens != 1 {
 		t.Errorf("chain of a tiny prompt: %+v", empty)
 	}
 }
 
-// BenchmarkNewChain hashes a prompt of 15,000 tokens.
 func BenchmarkNewChain(b *testing.B) {
 	text := bytes.Repeat([]byte("abcd"), 15000)
 	p := Prompt{Text: text, Ends: []int{4000, 20000, 59000}}
--- a/pulses/held.go
+++ b/pulses/held.go
@@ -8,7 +8,7 @@
 	"acaciakeel/poison"
 )
 
-// EncodeSuspects encodes contents under which targets ended.
+// EncodeSuspects encodes reports on request contents under which targets crashed.
 func EncodeSuspects(reports []poison.Report) []*keelv1.SuspectContent {
 	out := make([]*keelv1.SuspectContent, 0, len(reports))
 	for _, r := range reports {
@@ -26,7 +26,8 @@
 	return out
 }
 
-// DecodeSuspects leaves out what names no content.
+// DecodeSuspects decodes reports on suspect contents. A report whose fingerprint has
+// the wrong length is ignored.
 func DecodeSuspects(all []*keelv1.SuspectContent) []poison.Report {
 	var out []poison.Report
 	for _, w := range all {
@@ -48,11 +49,12 @@
 	return out
 }
 
-// maxRefusedMs is a year in milliseconds: more is no time that could be meant, and would
-// overflow a duration.
+// maxRefusedMs is one year in milliseconds. Larger values are not plausible and would
+// overflow a time.Duration.
 const maxRefusedMs = 365 * 24 * 3600 * 1000
 
-// EncodeNamings encodes namings of weights.
+// EncodeNamings encodes the desired versions of models' weights and for how long each
+// has been desired.
 func EncodeNamings(namings []fleet.Naming) []*keelv1.WeightsNaming {
 	var out []*keelv1.WeightsNaming
 	for _, n := range namings {
@@ -61,16 +63,16 @@
 	return out
 }
 
-// DecodeNamings decodes them.
 func DecodeNamings(all []*keelv1.WeightsNaming) []fleet.Naming {
 	var out []fleet.Naming
 	for _, n := range all {
-		// A word is a peer's, not to be trusted to fit.
+		// The value comes from the network and may be out of range.
 		age := time.Duration(min(n.AgeMs, uint64(maxAge.Milliseconds()))) * time.Millisecond
 		out = append(out, fleet.Naming{Model: n.Model, Version: n.Version, Age: age})
 	}
 	return out
 }
 
-// maxAge bounds the age of a naming that is told: far beyond any bound on weights.
+// maxAge bounds the ages of namings and limits that are received. It is far beyond any
+// configured staleness of weights.
 const maxAge = 24 * time.Hour
--- a/pulses/limits.go
+++ b/pulses/limits.go
@@ -5,15 +5,16 @@
 	"acaciakeel/quota"
 )
 
-// limitsPerDatagram is how many customers' words stand in one datagram: with its head they
-// fill it.
+// limitsPerDatagram is how many customers' usage reports fill one datagram, including
+// its header.
 const limitsPerDatagram = 40
 
-// limitEntryBytes is about how many bytes one takes.
+// limitEntryBytes is the approximate encoded size of one usage report.
 const limitEntryBytes = 27
 
-// EncodeLimits divides news on limits into datagrams; the first one is there without
-// words too, as the sign that its sender is there.
+// EncodeLimits divides a usage update into messages that fit one datagram each. The
+// first message is sent even without reports, because it also shows that its sender is
+// alive.
 func EncodeLimits(n quota.UsageUpdate) []*keelv1.LimitNews {
 	var out []*keelv1.LimitNews
 	for from := 0; from == 0 || from < len(n.Reports); from += limitsPerDatagram {
@@ -30,8 +31,8 @@
 	return out
 }
 
-// DecodeLimits leaves out customers without figures of their own, as in a datagram of
-// another shape.
+// DecodeLimits decodes one message of a usage update. Where its parallel lists differ
+// in length, as in a datagram of another version, the excess elements are ignored.
 func DecodeLimits(sender string, w *keelv1.LimitNews) quota.UsageUpdate {
 	n := quota.UsageUpdate{Sender: sender, Uptime: FromMicros(w.UpUs), Processes: int(w.Heard)}
 	for i := range min(len(w.Customer), len(w.Total), len(w.Demand), len(w.Level), len(w.Added)) {
@@ -42,7 +43,7 @@
 	return n
 }
 
-// addLimits packs news on addLimits, of which each datagram bears one part.
+// addLimits packs a usage update; each datagram carries at most one message of it.
 func (p *packer) addLimits(n quota.UsageUpdate, set func(*keelv1.Pulse, *keelv1.LimitNews)) {
 	for i, w := range EncodeLimits(n) {
 		if i > 0 {
--- a/pulses/packing.go
+++ b/pulses/packing.go
@@ -10,8 +10,8 @@
 
 // packer spreads a pulse over datagrams of about DatagramBytes each.
 type packer struct {
-	// message is the datagram that is being filled, size about its bytes, and begin
-	// returns the next one with what each of them bears.
+	// message is the datagram being filled and size its approximate encoded size.
+	// newMessage returns an empty datagram with the fields that each datagram carries.
 	message    *keelv1.Pulse
 	size       int
 	newMessage func() *keelv1.Pulse
@@ -23,7 +23,8 @@
 	return &packer{message: first, size: proto.Size(first), newMessage: newMessage}
 }
 
-// reserve makes reserve for a part of so many bytes, in the next datagram if need be.
+// reserve accounts for the given number of bytes, and starts the next datagram if the
+// current one has no space for them.
 func (p *packer) reserve(bytes int) {
 	if p.size+bytes > DatagramBytes {
 		p.startNext()
@@ -31,7 +32,6 @@
 	p.size += bytes
 }
 
-// startNext begins the startNext datagram.
 func (p *packer) startNext() {
 	p.flush()
 	p.message = p.newMessage()
@@ -44,7 +44,7 @@
 	p.datagrams = append(p.datagrams, datagram)
 }
 
-// finish returns the datagrams.
+// finish flushes the last datagram and returns all of them.
 func (p *packer) finish() ([][]byte, error) {
 	p.flush()
 	return p.datagrams, p.err
--- a/pulses/wire.go
+++ b/pulses/wire.go
@@ -1,5 +1,6 @@
-// Package pulses encodes what entries tell each other into datagrams, and decodes it. It
-// decides nothing; node tells and takes.
+// Package pulses encodes and decodes the UDP datagrams by which nodes exchange state.
+// It makes no decisions: package node sends the datagrams and applies what they
+// contain.
 package pulses
 
 import (
@@ -17,11 +18,11 @@
 	"acaciakeel/quota"
 )
 
-// DatagramBytes is about how much a datagram holds, to fit one packet of 1,500
-// bytes; what can't be divided goes into a larger one.
+// DatagramBytes is the approximate size of a datagram, chosen to fit one packet of
+// 1,500 bytes. An element that cannot be split may make a datagram larger.
 const DatagramBytes = 1200
 
-// Update is all that one pulse tells.
+// Update is the content of one pulse, the periodic state message of a node.
 type Update struct {
 	Loads    []fleet.Occupancy
 	Findings []fleet.Finding
@@ -31,17 +32,20 @@
 	Suspects []poison.Report
 	Namings  []fleet.Naming
 	Limits   quota.UsageUpdate
-	// TargetLimits is what was sent to targets that name limits.
+	// TargetLimits counts requests sent to targets that announce a limit.
 	TargetLimits quota.UsageUpdate
-	// mark and view are of the shared watch of the store.
+	// SentAt and StoreView belong to the shared watch of the store: peers echo SentAt
+	// so that the sender can bound the age of their confirmations.
 	SentAt    clock.BootTime
 	StoreView *keelv1.StoreView
 }
 
-// maxPendingPerKind bounds each kind of news that waits to be relayed: a second's of a group.
+// maxPendingPerKind bounds the queued elements of each kind that wait to be relayed:
+// about one second's worth from a group.
 const maxPendingPerKind = 4096
 
-// AppendRelayed adds what is relayed of other news.
+// AppendRelayed appends those kinds of elements of other that are relayed to other
+// groups. A kind that has reached maxPendingPerKind is not extended.
 func (p *Update) AppendRelayed(other Update) {
 	if len(p.Findings) < maxPendingPerKind {
 		p.Findings = append(p.Findings, other.Findings...)
@@ -57,16 +61,16 @@
 	}
 }
 
-// Encode encodes one datagram.
 func Encode(message *keelv1.Pulse) ([]byte, error) {
 	datagram, err := proto.Marshal(message)
 	if err != nil {
-		return nil, fmt.Errorf("encode a pulse: %w", err)
+		return nil, fmt.Errorf("encode pulse: %w", err)
 	}
 	return datagram, nil
 }
 
-// firstMessage returns the pulse that a node's news begins with: its load stands whole in it.
+// firstMessage returns the first datagram of a node's pulse. It contains the node's
+// complete load, so that a receiver can treat missing targets as idle.
 func (p Update) firstMessage(sender string) *keelv1.Pulse {
 	return &keelv1.Pulse{
 		Sender: sender, WholeLoad: true, Loads: encodeLoads(p.Loads), MarkUs: Micros(time.Duration(p.SentAt)),
@@ -74,8 +78,8 @@
 	}
 }
 
-// Datagrams encodes a pulse, spread over several where it is large; group is set
-// where it is a whole group's.
+// Datagrams encodes the update as one or more datagrams of about DatagramBytes. group
+// is set where the update summarizes a whole group of nodes.
 func (p Update) Datagrams(sender string, group *keelv1.GroupNews) ([][]byte, error) {
 	pack := newPacker(p.firstMessage(sender), func() *keelv1.Pulse { return &keelv1.Pulse{Sender: sender} })
 	if group != nil {
@@ -114,8 +118,8 @@
 	return pack.finish()
 }
 
-// groupLoadsPerDatagram is how many targets' loads stand in one datagram of a group's: with
-// its head they fill it.
+// groupLoadsPerDatagram is how many target loads fill one datagram of a group's update,
+// including its header.
 const groupLoadsPerDatagram = 50
 
 func addGroupLoads(g *keelv1.GroupNews, loads []fleet.Occupancy) {
@@ -130,8 +134,8 @@
 	}
 }
 
-// DecodeGroupLoads leaves out what has no figures of its own, as in a datagram of
-// another shape.
+// DecodeGroupLoads decodes the parallel lists of target loads. Where the lists differ
+// in length, as in a datagram of another version, the excess elements are ignored.
 func DecodeGroupLoads(g *keelv1.GroupNews) []fleet.Occupancy {
 	n := min(len(g.Target), len(g.Born), len(g.Inflight), len(g.Long), len(g.PrefillTokens), len(g.Resumable), len(g.Held))
 	out := make([]fleet.Occupancy, 0, n)
@@ -155,7 +159,6 @@
 	return out
 }
 
-// DecodeLoads decodes the load of targets.
 func DecodeLoads(all []*keelv1.TargetLoad) []fleet.Occupancy {
 	out := make([]fleet.Occupancy, 0, len(all))
 	for _, w := range all {
@@ -187,7 +190,8 @@
 	return &keelv1.TargetLimit{Named: limit.Named, Rate: limit.Rate, AgeUs: Micros(limit.Age)}
 }
 
-// decodeTargetLimit leaves out a limit that is no figure.
+// decodeTargetLimit returns nil for a missing limit and for one whose rate is negative
+// or NaN.
 func decodeTargetLimit(w *keelv1.TargetLimit) *fleet.ToldLimit {
 	if w == nil || math.IsNaN(w.Rate) || w.Rate < 0 {
 		return nil
@@ -195,7 +199,6 @@
 	return &fleet.ToldLimit{Limit: fleet.Limit{Named: w.Named, Rate: w.Rate}, Age: FromMicros(min(w.AgeUs, Micros(maxAge)))}
 }
 
-// DecodeFindings decodes what was learnt of targets.
 func DecodeFindings(all []*keelv1.TargetFinding) []fleet.Finding {
 	out := make([]fleet.Finding, 0, len(all))
 	for _, w := range all {
@@ -231,7 +234,7 @@
 	return out
 }
 
-// EncodeCaches encodes what changed in caches.
+// EncodeCaches encodes changes of prefix caches.
 func EncodeCaches(updates []fleet.CacheNews) []*keelv1.CacheNews {
 	out := make([]*keelv1.CacheNews, 0, len(updates))
 	for _, n := range updates {
@@ -244,7 +247,6 @@
 	return out
 }
 
-// DecodeCaches decodes it.
 func DecodeCaches(all []*keelv1.CacheNews) []fleet.CacheNews {
 	out := make([]fleet.CacheNews, 0, len(all))
 	for _, w := range all {
@@ -264,7 +266,7 @@
 	return out
 }
 
-// DecodeSaves decodes the parts that go to stores.
+// DecodeSaves decodes the prompt parts that are being written to stores.
 func DecodeSaves(all []*keelv1.StoreSaves) []fleet.Saves {
 	out := make([]fleet.Saves, 0, len(all))
 	for _, w := range all {
@@ -273,7 +275,7 @@
 	return out
 }
 
-// EncodeEngines encodes what was observed of engines.
+// EncodeEngines encodes observations of each service's engines.
 func EncodeEngines(reports []forecast.Report) []*keelv1.EngineWord {
 	out := make([]*keelv1.EngineWord, 0, len(reports))
 	for _, report := range reports {
@@ -293,7 +295,8 @@
 	return out
 }
 
-// DecodeEngines leaves out words of another shape, such as a later version's.
+// DecodeEngines decodes observations of engines. A report whose matrices have another
+// size, such as one of a later version, is ignored.
 func DecodeEngines(all []*keelv1.EngineWord) []forecast.Report {
 	out := make([]forecast.Report, 0, len(all))
 	for _, w := range all {
@@ -320,14 +323,17 @@
 	return out
 }
 
-// GroupLoadBytes is about how many bytes a target's load takes in a digest.
+// GroupLoadBytes is the approximate encoded size of one target's load in a group's
+// update.
 const GroupLoadBytes = 22
 
-// PartBytes is about how many bytes a part takes: its hash and its tokens.
+// PartBytes is the approximate encoded size of one prompt part: its hash and its token
+// count.
 const PartBytes = 11
 
-// TruncateTo cuts suspects, findings, saves and news of caches, in this order, to what fits so many
-// bytes, and returns about how many are used. Of each kind the newest stay.
+// TruncateTo drops the oldest elements so that the update fits within budget bytes, and
+// returns the approximate number of bytes used. Space is assigned in the order
+// suspects, findings, saves, caches.
 func (p *Update) TruncateTo(budget int) (used int) {
 	p.Suspects = newest(p.Suspects, &used, budget, func(r poison.Report) int { return 100 + 30*len(r.Crashes) })
 	p.Findings = newest(p.Findings, &used, budget, func(f fleet.Finding) int { return 60 + PartBytes*len(f.Parts) })
@@ -336,7 +342,8 @@
 	return used
 }
 
-// newest returns the last of all that fit room beside what is used already.
+// newest returns the longest suffix of all that fits the budget, given the bytes
+// already used, and adds its size to used.
 func newest[T any](all []T, used *int, budget int, size func(T) int) []T {
 	from := len(all)
 	for from > 0 && *used+size(all[from-1]) <= budget {
@@ -346,12 +353,11 @@
 	return all[from:]
 }
 
-// Micros returns a time in whole microseconds; one below 0 is none.
+// Micros returns d in whole microseconds, or 0 if d is negative.
 func Micros(d time.Duration) uint64 {
 	return uint64(max(0, d.Microseconds()))
 }
 
-// FromMicros returns it as a duration.
 func FromMicros(us uint64) time.Duration {
 	return time.Duration(us) * time.Microsecond
 }
