--- a/cache/view_test.go
+++ b/cache/view_test.go
@@ -65,7 +65,7 @@
 
 // A prompt routed to an evicted prefix is computed again. It happens if the view
 // reports blocks whose eviction event was lost, late or overtaken by a dump or reboot.
-func TestViewClaimsOnlyCachedBlocks(t *testing.T) {
+func TestViewReportsOnlyCachedBlocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{boot: "a", blocks: map[uint64]uint64{}}
 		v := NewView()
@@ -87,12 +87,12 @@
 				last = m.event(t)
 				v.Apply(last)
 			}
-			checkClaims(t, v, m)
+			checkReported(t, v, m)
 		}
 	})
 }
 
-func checkClaims(t *rapid.T, v *View, m *model) {
+func checkReported(t *rapid.T, v *View, m *model) {
 	if v.BootID() != m.boot || v.Seq() != m.seq {
 		// Events are still in transit; the view may be late but not wrong.
 		return
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -82,8 +82,7 @@
 }
 
 // Pauses after a failed call. The first is short, because most failures are a single
-// lost connection. They grow up to a bound instead of staying short, because calls are
-// billed.
+// lost connection. They then double up to maxBackoff, because calls are billed.
 const (
 	initialBackoff = 50 * time.Millisecond
 	maxBackoff     = 400 * time.Millisecond
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -35,11 +35,11 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	a := s.answers[0]
+	answer := s.answers[0]
 	s.answers = s.answers[1:]
 	s.mu.Unlock()
-	err, _ := a.(error)
-	return a, err
+	err, _ := answer.(error)
+	return answer, err
 }
 
 func (s *scriptedStore) List(ctx context.Context, _ string) (store.Listing, error) {
@@ -72,15 +72,15 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s := &scriptedStore{answers: answers, done: make(chan struct{})}
-	target := &recorder{}
-	f := New(s, "", Options{WatchTimeout: time.Second}, target, log)
+	handler := &recorder{}
+	f := New(s, "", Options{WatchTimeout: time.Second}, handler, log)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
 	<-s.done
 	cancel()
 	<-ended
-	return s, target, f
+	return s, handler, f
 }
 
 func changeEvent(key string, revision int64, deleted bool) store.Event {
@@ -90,7 +90,7 @@
 // The store compacts its history during a lost connection, so a key's deletion is
 // missed. The follower must list again and apply no earlier change twice.
 func TestListsAgainAfterCompaction(t *testing.T) {
-	s, target, _ := runScript(t,
+	s, handler, _ := runScript(t,
 		store.Listing{Revision: 5, Entries: []store.Entry{{Key: "a"}}},
 		store.Events{Revision: 6, Events: []store.Event{changeEvent("b", 6, false)}},
 		errDisconnected,
@@ -100,7 +100,7 @@
 	if got := fmt.Sprint(s.calls); got != "[list watch 5 watch 6 watch 6 list watch 9]" {
 		t.Errorf("store calls: %s", got)
 	}
-	if got := fmt.Sprint(target.log); got != "[reset 1 at 5 b deleted=false reset 2 at 9]" {
+	if got := fmt.Sprint(handler.log); got != "[reset 1 at 5 b deleted=false reset 2 at 9]" {
 		t.Errorf("handler calls: %s", got)
 	}
 }
@@ -114,7 +114,7 @@
 	if _, ok := f.Age(); !ok {
 		t.Error("the view has no age after a listing")
 	}
-	if _, back := f.SinceRecovery(); !back {
+	if _, recovered := f.SinceRecovery(); !recovered {
 		t.Error("the store's recovery was not recorded")
 	}
 }
--- a/follow/share.go
+++ b/follow/share.go
@@ -131,7 +131,6 @@
 // watches.
 type Reason string
 
-// The reasons for a watch.
 const (
 	// ReasonFirstInRank: the process watches on behalf of its peers or has none.
 	ReasonFirstInRank Reason = "turn"
--- a/follow/share_test.go
+++ b/follow/share_test.go
@@ -20,12 +20,12 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s := &scriptedStore{answers: append([]any{store.Listing{Revision: 5}}, answers...), done: make(chan struct{})}
-	target := &recorder{}
-	f := New(s, "", Options{WatchTimeout: time.Second, PeerTimeout: func() time.Duration { return peerTimeout }}, target, log)
+	handler := &recorder{}
+	f := New(s, "", Options{WatchTimeout: time.Second, PeerTimeout: func() time.Duration { return peerTimeout }}, handler, log)
 	if err := f.list(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	return s, target, f
+	return s, handler, f
 }
 
 func (f *Follower) runFor(d time.Duration) {
@@ -63,7 +63,7 @@
 		t.Errorf("store calls by a node of later rank: %s", got)
 	}
 	f.ReceiveConfirmation(Confirmation{Revision: 5}, clock.Now(), true)
-	if _, back := f.SinceRecovery(); !back || f.Disconnected() {
+	if _, recovered := f.SinceRecovery(); !recovered || f.Disconnected() {
 		t.Error("a confirmation by a peer did not end the outage")
 	}
 	s, _, f = newListedFollower(t, 0, errDisconnected, errDisconnected, errDisconnected)
@@ -88,9 +88,9 @@
 // revoked. Its age must count from the node's own timestamp that it echoes.
 func TestDelayedConfirmationCountsAsOld(t *testing.T) {
 	_, _, f := newListedFollower(t, time.Hour)
-	mark := clock.Now().Add(-20 * time.Second)
+	echoed := clock.Now().Add(-20 * time.Second)
 	f.confirmedAt.Store(int64(clock.Now().Add(-time.Minute)))
-	f.ReceiveConfirmation(Confirmation{Revision: 5, Age: 300 * time.Millisecond}, mark, true)
+	f.ReceiveConfirmation(Confirmation{Revision: 5, Age: 300 * time.Millisecond}, echoed, true)
 	if age, _ := f.Age(); age < 20*time.Second+300*time.Millisecond {
 		t.Errorf("view is %v old after a confirmation that echoes a timestamp of 20 s ago", age)
 	}
@@ -99,7 +99,7 @@
 // Changes from a peer may be duplicated or lost. After a gap the node must call the
 // store; a confirmation beyond the gap would make an incomplete view count as current.
 func TestReceivedChangesApplyOnceInOrder(t *testing.T) {
-	s, target, f := newListedFollower(t, time.Hour, store.Events{Revision: 9, Events: []store.Event{changeEvent("c", 8, false), changeEvent("d", 9, false)}})
+	s, handler, f := newListedFollower(t, time.Hour, store.Events{Revision: 9, Events: []store.Event{changeEvent("c", 8, false), changeEvent("d", 9, false)}})
 	f.ReceiveConfirmation(Confirmation{Revision: 5}, clock.Now(), true)
 	six := Changes{After: 5, Events: store.Events{Revision: 6, Events: []store.Event{changeEvent("a", 6, false)}}}
 	f.ReceiveChanges(six)
@@ -115,7 +115,7 @@
 	if got := fmt.Sprint(s.calls); got != "[list watch 7]" {
 		t.Errorf("store calls: %s", got)
 	}
-	if got := fmt.Sprint(target.log); got != "[reset 0 at 5 a deleted=false b deleted=true c deleted=false d deleted=false]" {
+	if got := fmt.Sprint(handler.log); got != "[reset 0 at 5 a deleted=false b deleted=true c deleted=false d deleted=false]" {
 		t.Errorf("handler calls: %s", got)
 	}
 }
@@ -123,23 +123,22 @@
 // A peer's change newer than the pending listing is received after a compaction. If it
 // were applied first, the listing would undo it and briefly remove a new target.
 func TestReceivedChangesWaitForRelisting(t *testing.T) {
-	_, target, f := newListedFollower(t, time.Hour, store.Events{Compacted: true}, store.Listing{Revision: 6}, store.Events{Revision: 7, Events: []store.Event{changeEvent("a", 7, false)}})
+	_, handler, f := newListedFollower(t, time.Hour, store.Events{Compacted: true}, store.Listing{Revision: 6}, store.Events{Revision: 7, Events: []store.Event{changeEvent("a", 7, false)}})
 	if err := f.watch(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	f.ReceiveChanges(Changes{After: 5, Events: store.Events{Revision: 7, Events: []store.Event{changeEvent("a", 7, false)}}})
 	f.runFor(100 * time.Millisecond)
-	if got := fmt.Sprint(target.log); got != "[reset 0 at 5 reset 0 at 6 a deleted=false]" {
+	if got := fmt.Sprint(handler.log); got != "[reset 0 at 5 reset 0 at 6 a deleted=false]" {
 		t.Errorf("handler calls: %s", got)
 	}
 }
 
-// Only the watching peer sees the store recover, and expired entries arrive as
-// deletions. Without the recovery time the node drops targets that return a moment
-// later.
+// Only the watching peer sees the store recover, and expired entries arrive as deleted.
+// Without the recovery time the node drops targets that are back a moment later.
 func TestStoreRecoveryReceivedFromPeer(t *testing.T) {
 	_, _, f := newListedFollower(t, time.Hour)
-	if _, back := f.SinceRecovery(); back {
+	if _, recovered := f.SinceRecovery(); recovered {
 		t.Fatal("the store counts as recovered without an outage")
 	}
 	f.ReceiveChanges(Changes{After: 5, SinceRecovery: 100 * time.Millisecond, Events: store.Events{Revision: 6, Events: []store.Event{changeEvent("a", 6, true)}}})
@@ -158,18 +157,18 @@
 func (r *recoveryRecorder) Reset([]store.Entry, int64) {}
 
 func (r *recoveryRecorder) Apply([]store.Event) {
-	_, back := r.f.SinceRecovery()
-	r.recovered = append(r.recovered, back)
+	_, recovered := r.f.SinceRecovery()
+	r.recovered = append(r.recovered, recovered)
 }
 
 // The first watch after an outage returns deletions of expired target entries. If the
 // recovery were recorded after them, all those targets would be dropped at once.
 func TestRecoveryRecordedBeforeEvents(t *testing.T) {
 	_, _, f := newListedFollower(t, 0, errDisconnected, store.Events{Revision: 6, Events: []store.Event{changeEvent("servers/a", 6, true)}})
-	target := &recoveryRecorder{f: f}
-	f.handler = target
+	handler := &recoveryRecorder{f: f}
+	f.handler = handler
 	f.runFor(200 * time.Millisecond)
-	if fmt.Sprint(target.recovered) != "[true]" {
-		t.Errorf("store counts as recovered at the deletions: %v", target.recovered)
+	if fmt.Sprint(handler.recovered) != "[true]" {
+		t.Errorf("store counts as recovered at the deletions: %v", handler.recovered)
 	}
 }
--- a/lru/parts.go
+++ b/lru/parts.go
@@ -21,67 +21,67 @@
 	return &Cache{entries: map[uint64]*entry{}}
 }
 
-func (p *Cache) Has(hash uint64) bool {
-	return p.entries[hash] != nil
+func (c *Cache) Has(hash uint64) bool {
+	return c.entries[hash] != nil
 }
 
 // Use marks a part as most recently used, adding it if it is missing, and evicts the
 // least recently used other parts while the total exceeds capacity tokens. A capacity
 // of 0 means unlimited.
-func (p *Cache) Use(hash uint64, tokens, capacity int) {
-	e := p.entries[hash]
+func (c *Cache) Use(hash uint64, tokens, capacity int) {
+	e := c.entries[hash]
 	if e == nil {
 		e = &entry{hash: hash, tokens: tokens}
-		p.entries[hash] = e
-		p.tokens += tokens
+		c.entries[hash] = e
+		c.tokens += tokens
 	} else {
-		p.unlink(e)
+		c.unlink(e)
 	}
-	p.pushFront(e)
-	for capacity > 0 && p.tokens > capacity && p.tail != e {
-		p.evict(p.tail)
+	c.pushFront(e)
+	for capacity > 0 && c.tokens > capacity && c.tail != e {
+		c.evict(c.tail)
 	}
 }
 
 // Len returns the number of parts.
-func (p *Cache) Len() int {
-	return len(p.entries)
+func (c *Cache) Len() int {
+	return len(c.entries)
 }
 
 // Remove deletes a part that the modelled cache no longer contains.
-func (p *Cache) Remove(hash uint64) {
-	if e := p.entries[hash]; e != nil {
-		p.evict(e)
+func (c *Cache) Remove(hash uint64) {
+	if e := c.entries[hash]; e != nil {
+		c.evict(e)
 	}
 }
 
-func (p *Cache) evict(e *entry) {
-	p.unlink(e)
-	delete(p.entries, e.hash)
-	p.tokens -= e.tokens
+func (c *Cache) evict(e *entry) {
+	c.unlink(e)
+	delete(c.entries, e.hash)
+	c.tokens -= e.tokens
 }
 
-func (p *Cache) pushFront(e *entry) {
-	e.prev, e.next = nil, p.head
-	if p.head != nil {
-		p.head.prev = e
+func (c *Cache) pushFront(e *entry) {
+	e.prev, e.next = nil, c.head
+	if c.head != nil {
+		c.head.prev = e
 	}
-	p.head = e
-	if p.tail == nil {
-		p.tail = e
+	c.head = e
+	if c.tail == nil {
+		c.tail = e
 	}
 }
 
-func (p *Cache) unlink(e *entry) {
+func (c *Cache) unlink(e *entry) {
 	if e.prev != nil {
 		e.prev.next = e.next
 	} else {
-		p.head = e.next
+		c.head = e.next
 	}
 	if e.next != nil {
 		e.next.prev = e.prev
 	} else {
-		p.tail = e.prev
+		c.tail = e.prev
 	}
 	e.prev, e.next = nil, nil
 }
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 func TestNext(t *testing.T) {
-	old := Input{EngineUp: true, Desired: "v2", Loaded: "v1"}
+	outdated := Input{EngineUp: true, Desired: "v2", Loaded: "v1"}
 	with := func(change func(*Input)) Input {
-		in := old
+		in := outdated
 		change(&in)
 		return in
 	}
@@ -14,10 +14,10 @@
 		in   Input
 		want Step
 	}{
-		{"has its weights", with(func(i *Input) { i.Loaded = "v2" }), NoStep},
+		{"has the desired weights", with(func(i *Input) { i.Loaded = "v2" }), NoStep},
 		{"engine is down", with(func(i *Input) { i.EngineUp = false }), NoStep},
-		{"no slot yet", old, AcquireSlot},
-		{"requests run", with(func(i *Input) { i.SlotHeld = true }), Drain},
+		{"no slot yet", outdated, AcquireSlot},
+		{"requests running", with(func(i *Input) { i.SlotHeld = true }), Drain},
 		{"idle with a slot", with(func(i *Input) { i.SlotHeld, i.Idle = true, true }), Load},
 		{"platform down for a moment", with(func(i *Input) { i.PlatformDownFor = 1 }), AwaitTurn},
 		{"platform down for long", with(func(i *Input) { i.PlatformDownFor, i.Idle = PlatformGracePeriod, true }), Load},
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestServing(t *testing.T) {
+func TestServingVersion(t *testing.T) {
 	for _, test := range []struct {
 		previous string
 		have     int
--- a/peering/peering.go
+++ b/peering/peering.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// MaxGroupSize bounds the members of a group. A member sends a pulse every 5 ms per
-	// peer, so with 25 members each receives the updates of all others eight times a
-	// second: about 200 datagrams a second in each direction. The CPU of a small VM can
-	// process three times as many.
+	// MaxGroupSize bounds the members of a group. A member pauses 5 ms per peer between
+	// two pulses, so with 25 members it receives the updates of each other one eight
+	// times a second: about 200 datagrams a second in each direction. The CPU of a
+	// small VM can process three times as many.
 	MaxGroupSize = 25
 	// relaysPerLink is how many members of a group may relay to another group. The
 	// second one does so only while the first is silent.
@@ -102,7 +102,7 @@
 	return containsKey(p.Peers[:p.Rank], key)
 }
 
-// HasPeer reports whether the member with this key is in the process's group.
+// HasPeer reports whether the member with this key is one of the process's peers.
 func (p Plan) HasPeer(key string) bool {
 	return containsKey(p.Peers, key)
 }
--- a/peering/peering_test.go
+++ b/peering/peering_test.go
@@ -14,9 +14,8 @@
 	return out
 }
 
-// With over 40 nodes each one updated only 12 others a second, so prompts went to
-// runners that a hundred other nodes had filled. Updates must reach all, with bounded
-// traffic.
+// With over 40 nodes each one updated 12 others a second, so prompts went to runners
+// that a hundred other nodes had filled. Updates must reach all at bounded cost.
 func TestUpdatesReachAllMembersAtAnySize(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 20, 25, 26, 40, 41, 50, 51, 103, 300, 370, 1000} {
 		all := members(n)
@@ -39,12 +38,12 @@
 				if l.Relays[0] == key {
 					relayLinks[key]++
 				}
-				far := plans[byAddress[l.RemoteAddresses[0]]]
-				if far.Group != l.Group || far.Links[slices.IndexFunc(far.Links, func(b Link) bool { return b.Group == p.Group })].Relays[0] != byAddress[l.RemoteAddresses[0]] {
+				remote := plans[byAddress[l.RemoteAddresses[0]]]
+				if remote.Group != l.Group || remote.Links[slices.IndexFunc(remote.Links, func(b Link) bool { return b.Group == p.Group })].Relays[0] != byAddress[l.RemoteAddresses[0]] {
 					t.Fatalf("%d members: group %d relays to a member of group %d that is not its first relay", n, p.Group, l.Group)
 				}
 				reached[byAddress[l.RemoteAddresses[0]]] = true
-				for _, peer := range far.Peers {
+				for _, peer := range remote.Peers {
 					reached[peer.Key] = true
 				}
 			}
--- a/pulses/wire.go
+++ b/pulses/wire.go
@@ -46,18 +46,18 @@
 
 // AppendRelayed appends those kinds of elements of other that are relayed to other
 // groups. A kind that has reached maxPendingPerKind is not extended.
-func (p *Update) AppendRelayed(other Update) {
-	if len(p.Findings) < maxPendingPerKind {
-		p.Findings = append(p.Findings, other.Findings...)
+func (u *Update) AppendRelayed(other Update) {
+	if len(u.Findings) < maxPendingPerKind {
+		u.Findings = append(u.Findings, other.Findings...)
 	}
-	if len(p.Caches) < maxPendingPerKind {
-		p.Caches = append(p.Caches, other.Caches...)
+	if len(u.Caches) < maxPendingPerKind {
+		u.Caches = append(u.Caches, other.Caches...)
 	}
-	if len(p.Saves) < maxPendingPerKind {
-		p.Saves = append(p.Saves, other.Saves...)
+	if len(u.Saves) < maxPendingPerKind {
+		u.Saves = append(u.Saves, other.Saves...)
 	}
-	if len(p.Suspects) < maxPendingPerKind {
-		p.Suspects = append(p.Suspects, other.Suspects...)
+	if len(u.Suspects) < maxPendingPerKind {
+		u.Suspects = append(u.Suspects, other.Suspects...)
 	}
 }
 
@@ -71,47 +71,47 @@
 
 // firstMessage returns the first datagram of a node's pulse. It contains the node's
 // complete load, so that a receiver can treat missing targets as idle.
-func (p Update) firstMessage(sender string) *keelv1.Pulse {
+func (u Update) firstMessage(sender string) *keelv1.Pulse {
 	return &keelv1.Pulse{
-		Sender: sender, WholeLoad: true, Loads: encodeLoads(p.Loads), MarkUs: Micros(time.Duration(p.SentAt)),
-		View: p.StoreView, Namings: EncodeNamings(p.Namings),
+		Sender: sender, WholeLoad: true, Loads: encodeLoads(u.Loads), MarkUs: Micros(time.Duration(u.SentAt)),
+		View: u.StoreView, Namings: EncodeNamings(u.Namings),
 	}
 }
 
 // Datagrams encodes the update as one or more datagrams of about DatagramBytes. group
 // is set where the update summarizes a whole group of nodes.
-func (p Update) Datagrams(sender string, group *keelv1.GroupNews) ([][]byte, error) {
-	pack := newPacker(p.firstMessage(sender), func() *keelv1.Pulse { return &keelv1.Pulse{Sender: sender} })
+func (u Update) Datagrams(sender string, group *keelv1.GroupNews) ([][]byte, error) {
+	pack := newPacker(u.firstMessage(sender), func() *keelv1.Pulse { return &keelv1.Pulse{Sender: sender} })
 	if group != nil {
 		newMessage := func() *keelv1.Pulse {
 			return &keelv1.Pulse{Sender: sender, Group: &keelv1.GroupNews{Group: group.Group, Groups: group.Groups}}
 		}
 		pack = newPacker(newMessage(), newMessage)
-		for from := 0; from < len(p.Loads); from += groupLoadsPerDatagram {
-			batch := p.Loads[from:min(len(p.Loads), from+groupLoadsPerDatagram)]
+		for from := 0; from < len(u.Loads); from += groupLoadsPerDatagram {
+			batch := u.Loads[from:min(len(u.Loads), from+groupLoadsPerDatagram)]
 			pack.reserve(len(batch) * GroupLoadBytes)
 			addGroupLoads(pack.message.Group, batch)
 		}
 	}
-	pack.addLimits(p.Limits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.Limits = w })
-	pack.addLimits(p.TargetLimits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.TargetLimits = w })
-	for _, w := range EncodeSuspects(p.Suspects) {
+	pack.addLimits(u.Limits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.Limits = w })
+	pack.addLimits(u.TargetLimits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.TargetLimits = w })
+	for _, w := range EncodeSuspects(u.Suspects) {
 		pack.reserve(proto.Size(w))
 		pack.message.Suspects = append(pack.message.Suspects, w)
 	}
-	for _, w := range encodeFindings(p.Findings) {
+	for _, w := range encodeFindings(u.Findings) {
 		pack.reserve(proto.Size(w))
 		pack.message.Findings = append(pack.message.Findings, w)
 	}
-	for _, w := range EncodeCaches(p.Caches) {
+	for _, w := range EncodeCaches(u.Caches) {
 		pack.reserve(proto.Size(w))
 		pack.message.Caches = append(pack.message.Caches, w)
 	}
-	for _, w := range encodeSaves(p.Saves) {
+	for _, w := range encodeSaves(u.Saves) {
 		pack.reserve(proto.Size(w))
 		pack.message.Saves = append(pack.message.Saves, w)
 	}
-	for _, w := range EncodeEngines(p.Engines) {
+	for _, w := range EncodeEngines(u.Engines) {
 		pack.reserve(proto.Size(w))
 		pack.message.Engines = append(pack.message.Engines, w)
 	}
@@ -334,11 +334,11 @@
 // TruncateTo drops the oldest elements so that the update fits within budget bytes, and
 // returns the approximate number of bytes used. Space is assigned in the order
 // suspects, findings, saves, caches.
-func (p *Update) TruncateTo(budget int) (used int) {
-	p.Suspects = newest(p.Suspects, &used, budget, func(r poison.Report) int { return 100 + 30*len(r.Crashes) })
-	p.Findings = newest(p.Findings, &used, budget, func(f fleet.Finding) int { return 60 + PartBytes*len(f.Parts) })
-	p.Saves = newest(p.Saves, &used, budget, func(s fleet.Saves) int { return 24 + 8*len(s.Parts) })
-	p.Caches = newest(p.Caches, &used, budget, func(n fleet.CacheNews) int { return 48 + PartBytes*len(n.Stored) + 8*len(n.Dropped) })
+func (u *Update) TruncateTo(budget int) (used int) {
+	u.Suspects = newest(u.Suspects, &used, budget, func(r poison.Report) int { return 100 + 30*len(r.Crashes) })
+	u.Findings = newest(u.Findings, &used, budget, func(f fleet.Finding) int { return 60 + PartBytes*len(f.Parts) })
+	u.Saves = newest(u.Saves, &used, budget, func(s fleet.Saves) int { return 24 + 8*len(s.Parts) })
+	u.Caches = newest(u.Caches, &used, budget, func(n fleet.CacheNews) int { return 48 + PartBytes*len(n.Stored) + 8*len(n.Dropped) })
 	return used
 }
 
