--- a/pulses/held.go
+++ b/pulses/held.go
@@ -39,10 +39,10 @@
 			Remaining: time.Duration(min(w.RefusedMs, maxRefusedMs)) * time.Millisecond,
 		}
 		for _, e := range w.Ends {
-			r.Crashes = append(r.Crashes, poison.Crash{Life: fleet.Life{ID: e.Target, Born: e.Born}, Cleared: e.Discharged})
+			r.Crashes = append(r.Crashes, poison.Crash{Life: fleet.Instance{ID: e.Target, Born: e.Born}, Cleared: e.Discharged})
 		}
 		if w.UnderWay != nil {
-			r.RunningOn = &fleet.Life{ID: w.UnderWay.Target, Born: w.UnderWay.Born}
+			r.RunningOn = &fleet.Instance{ID: w.UnderWay.Target, Born: w.UnderWay.Born}
 		}
 		out = append(out, r)
 	}
@@ -55,7 +55,7 @@
 
 // EncodeNamings encodes the desired versions of models' weights and for how long each
 // has been desired.
-func EncodeNamings(namings []fleet.Naming) []*keelv1.WeightsNaming {
+func EncodeNamings(namings []fleet.DesiredVersion) []*keelv1.WeightsNaming {
 	var out []*keelv1.WeightsNaming
 	for _, n := range namings {
 		out = append(out, &keelv1.WeightsNaming{Model: n.Model, Version: n.Version, AgeMs: uint64(max(0, n.Age.Milliseconds()))})
@@ -63,12 +63,12 @@
 	return out
 }
 
-func DecodeNamings(all []*keelv1.WeightsNaming) []fleet.Naming {
-	var out []fleet.Naming
+func DecodeNamings(all []*keelv1.WeightsNaming) []fleet.DesiredVersion {
+	var out []fleet.DesiredVersion
 	for _, n := range all {
 		// The value comes from the network and may be out of range.
 		age := time.Duration(min(n.AgeMs, uint64(maxAge.Milliseconds()))) * time.Millisecond
-		out = append(out, fleet.Naming{Model: n.Model, Version: n.Version, Age: age})
+		out = append(out, fleet.DesiredVersion{Model: n.Model, Version: n.Version, Age: age})
 	}
 	return out
 }
--- a/pulses/wire.go
+++ b/pulses/wire.go
@@ -25,12 +25,12 @@
 // Update is the content of one pulse, the periodic state message of a node.
 type Update struct {
 	Loads    []fleet.Occupancy
-	Findings []fleet.Finding
-	Caches   []fleet.CacheNews
+	Findings []fleet.TargetUpdate
+	Caches   []fleet.CacheUpdate
 	Saves    []fleet.Saves
 	Engines  []forecast.Report
 	Suspects []poison.Report
-	Namings  []fleet.Naming
+	Namings  []fleet.DesiredVersion
 	Limits   quota.UsageUpdate
 	// TargetLimits counts requests sent to targets that announce a limit.
 	TargetLimits quota.UsageUpdate
@@ -128,9 +128,9 @@
 		g.Born = append(g.Born, o.Target.Born)
 		g.Inflight = append(g.Inflight, uint32(o.Inflight))
 		g.Long = append(g.Long, uint32(o.Long))
-		g.PrefillTokens = append(g.PrefillTokens, uint32(max(0, o.Prefill)))
+		g.PrefillTokens = append(g.PrefillTokens, uint32(max(0, o.PrefillTokens)))
 		g.Resumable = append(g.Resumable, uint32(o.Resumable))
-		g.Held = append(g.Held, uint32(max(0, o.Held)))
+		g.Held = append(g.Held, uint32(max(0, o.HeldTokens)))
 	}
 }
 
@@ -141,8 +141,8 @@
 	out := make([]fleet.Occupancy, 0, n)
 	for i := range n {
 		out = append(out, fleet.Occupancy{
-			Target: fleet.Life{ID: g.Target[i], Born: g.Born[i]}, Inflight: int(g.Inflight[i]), Long: int(g.Long[i]),
-			Prefill: int(g.PrefillTokens[i]), Resumable: int(g.Resumable[i]), Held: int(g.Held[i]),
+			Target: fleet.Instance{ID: g.Target[i], Born: g.Born[i]}, Inflight: int(g.Inflight[i]), Long: int(g.Long[i]),
+			PrefillTokens: int(g.PrefillTokens[i]), Resumable: int(g.Resumable[i]), HeldTokens: int(g.Held[i]),
 		})
 	}
 	return out
@@ -153,7 +153,7 @@
 	for _, o := range loads {
 		out = append(out, &keelv1.TargetLoad{
 			Target: o.Target.ID, Born: o.Target.Born, Inflight: uint32(o.Inflight), Long: uint32(o.Long),
-			PrefillTokens: uint32(max(0, o.Prefill)), Resumable: uint32(o.Resumable), Held: uint32(max(0, o.Held)),
+			PrefillTokens: uint32(max(0, o.PrefillTokens)), Resumable: uint32(o.Resumable), Held: uint32(max(0, o.HeldTokens)),
 		})
 	}
 	return out
@@ -163,16 +163,16 @@
 	out := make([]fleet.Occupancy, 0, len(all))
 	for _, w := range all {
 		out = append(out, fleet.Occupancy{
-			Target: fleet.Life{ID: w.Target, Born: w.Born}, Inflight: int(w.Inflight), Long: int(w.Long), Prefill: int(w.PrefillTokens), Resumable: int(w.Resumable), Held: int(w.Held),
+			Target: fleet.Instance{ID: w.Target, Born: w.Born}, Inflight: int(w.Inflight), Long: int(w.Long), PrefillTokens: int(w.PrefillTokens), Resumable: int(w.Resumable), HeldTokens: int(w.Held),
 		})
 	}
 	return out
 }
 
-func encodeFindings(findings []fleet.Finding) []*keelv1.TargetFinding {
+func encodeFindings(findings []fleet.TargetUpdate) []*keelv1.TargetFinding {
 	out := make([]*keelv1.TargetFinding, 0, len(findings))
 	for _, finding := range findings {
-		w := &keelv1.TargetFinding{Target: finding.Target.ID, Born: finding.Target.Born, BusyMs: uint32(finding.Busy.Milliseconds()), Leaving: finding.Leaving}
+		w := &keelv1.TargetFinding{Target: finding.Target.ID, Born: finding.Target.Born, BusyMs: uint32(finding.BusyFor.Milliseconds()), Leaving: finding.ShuttingDown}
 		for model, version := range finding.Weights {
 			w.Weights = append(w.Weights, &keelv1.LoadedWeights{Model: model, Version: version})
 		}
@@ -183,32 +183,32 @@
 	return out
 }
 
-func encodeTargetLimit(limit *fleet.ToldLimit) *keelv1.TargetLimit {
+func encodeTargetLimit(limit *fleet.LimitUpdate) *keelv1.TargetLimit {
 	if limit == nil {
 		return nil
 	}
-	return &keelv1.TargetLimit{Named: limit.Named, Rate: limit.Rate, AgeUs: Micros(limit.Age)}
+	return &keelv1.TargetLimit{Named: limit.Declared, Rate: limit.Rate, AgeUs: Micros(limit.Age)}
 }
 
 // decodeTargetLimit returns nil for a missing limit and for one whose rate is negative
 // or NaN.
-func decodeTargetLimit(w *keelv1.TargetLimit) *fleet.ToldLimit {
+func decodeTargetLimit(w *keelv1.TargetLimit) *fleet.LimitUpdate {
 	if w == nil || math.IsNaN(w.Rate) || w.Rate < 0 {
 		return nil
 	}
-	return &fleet.ToldLimit{Limit: fleet.Limit{Named: w.Named, Rate: w.Rate}, Age: FromMicros(min(w.AgeUs, Micros(maxAge)))}
+	return &fleet.LimitUpdate{Limit: fleet.Limit{Declared: w.Named, Rate: w.Rate}, Age: FromMicros(min(w.AgeUs, Micros(maxAge)))}
 }
 
-func DecodeFindings(all []*keelv1.TargetFinding) []fleet.Finding {
-	out := make([]fleet.Finding, 0, len(all))
+func DecodeFindings(all []*keelv1.TargetFinding) []fleet.TargetUpdate {
+	out := make([]fleet.TargetUpdate, 0, len(all))
 	for _, w := range all {
-		finding := fleet.Finding{
-			Target:  fleet.Life{ID: w.Target, Born: w.Born},
-			Weights: map[string]int64{},
-			Busy:    time.Duration(w.BusyMs) * time.Millisecond,
-			Parts:   decodeParts(w.PartHash, w.PartTokens),
-			Limit:   decodeTargetLimit(w.Limit),
-			Leaving: w.Leaving,
+		finding := fleet.TargetUpdate{
+			Target:       fleet.Instance{ID: w.Target, Born: w.Born},
+			Weights:      map[string]int64{},
+			BusyFor:      time.Duration(w.BusyMs) * time.Millisecond,
+			Parts:        decodeParts(w.PartHash, w.PartTokens),
+			Limit:        decodeTargetLimit(w.Limit),
+			ShuttingDown: w.Leaving,
 		}
 		for _, l := range w.Weights {
 			finding.Weights[l.Model] = l.Version
@@ -235,11 +235,11 @@
 }
 
 // EncodeCaches encodes changes of prefix caches.
-func EncodeCaches(updates []fleet.CacheNews) []*keelv1.CacheNews {
+func EncodeCaches(updates []fleet.CacheUpdate) []*keelv1.CacheNews {
 	out := make([]*keelv1.CacheNews, 0, len(updates))
 	for _, n := range updates {
 		w := &keelv1.CacheNews{
-			Address: n.Address, Target: n.Target.ID, Born: n.Target.Born, Boot: n.Boot, Next: n.Next, DroppedHash: n.Dropped, Silent: n.Silent,
+			Address: n.Address, Target: n.Target.ID, Born: n.Target.Born, Boot: n.Boot, Next: n.Next, DroppedHash: n.Evicted, Silent: n.Unresponsive,
 		}
 		w.StoredHash, w.StoredTokens = encodeParts(n.Stored)
 		out = append(out, w)
@@ -247,12 +247,12 @@
 	return out
 }
 
-func DecodeCaches(all []*keelv1.CacheNews) []fleet.CacheNews {
-	out := make([]fleet.CacheNews, 0, len(all))
+func DecodeCaches(all []*keelv1.CacheNews) []fleet.CacheUpdate {
+	out := make([]fleet.CacheUpdate, 0, len(all))
 	for _, w := range all {
-		out = append(out, fleet.CacheNews{
-			Address: w.Address, Target: fleet.Life{ID: w.Target, Born: w.Born}, Boot: w.Boot, Next: w.Next, Silent: w.Silent,
-			Stored: decodeParts(w.StoredHash, w.StoredTokens), Dropped: w.DroppedHash,
+		out = append(out, fleet.CacheUpdate{
+			Address: w.Address, Target: fleet.Instance{ID: w.Target, Born: w.Born}, Boot: w.Boot, Next: w.Next, Unresponsive: w.Silent,
+			Stored: decodeParts(w.StoredHash, w.StoredTokens), Evicted: w.DroppedHash,
 		})
 	}
 	return out
@@ -336,9 +336,9 @@
 // suspects, findings, saves, caches.
 func (u *Update) TruncateTo(budget int) (used int) {
 	u.Suspects = newest(u.Suspects, &used, budget, func(r poison.Report) int { return 100 + 30*len(r.Crashes) })
-	u.Findings = newest(u.Findings, &used, budget, func(f fleet.Finding) int { return 60 + PartBytes*len(f.Parts) })
+	u.Findings = newest(u.Findings, &used, budget, func(f fleet.TargetUpdate) int { return 60 + PartBytes*len(f.Parts) })
 	u.Saves = newest(u.Saves, &used, budget, func(s fleet.Saves) int { return 24 + 8*len(s.Parts) })
-	u.Caches = newest(u.Caches, &used, budget, func(n fleet.CacheNews) int { return 48 + PartBytes*len(n.Stored) + 8*len(n.Dropped) })
+	u.Caches = newest(u.Caches, &used, budget, func(n fleet.CacheUpdate) int { return 48 + PartBytes*len(n.Stored) + 8*len(n.Evicted) })
 	return used
 }
 
