--- a/follow/share.go
+++ b/follow/share.go
@@ -9,66 +9,67 @@
 	"acaciakeel/store"
 )
 
-// shared is the part of a follower by which processes share one watch: one of them
-// calls the store and tells the others, who call only when they have heard nothing
-// for a while, or missed a change. What each knows, and how old that is at most, is
-// the same as with a watch of its own, at one call in place of many: with a watch
-// each, 103 processes made 4.3 calls a second each.
-type shared struct {
+// sharedWatch is the state by which several processes share one watch. One process
+// calls the store and sends the changes to its peers. A peer calls the store only if it
+// has received no confirmation for PeerTimeout or has missed a change. The bound on the
+// age of each view is the same as with separate watches, which cost 4.3 calls a second
+// for each of 103 processes.
+type sharedWatch struct {
 	mu sync.Mutex
-	// revision is up to where the view has all changes.
+	// revision is the revision up to which the view has all changes.
 	revision int64
-	// lost is set while the store no longer has the changes after revision.
-	lost bool
-	// direct is the last moment up to which a call of this process's own confirmed
-	// the view, served that up to which one did whose turn comes before.
-	direct clock.BootTime
-	served clock.BootTime
-	// behind is set where another process knows of changes that this one missed.
+	// compacted is set while the store no longer has the changes after revision.
+	compacted bool
+	// ownConfirmedAt is the time as of which the process's own calls last confirmed the
+	// view, peerConfirmedAt the same for confirmations by peers that rank before it.
+	ownConfirmedAt  clock.BootTime
+	peerConfirmedAt clock.BootTime
+	// behind is set if a peer knows of changes that this process has missed.
 	behind bool
-	woken  chan struct{}
-	// told is called with the changes that an own watch brought.
-	told func(Changes)
+	wakeup chan struct{}
+	// onChanges is called with the changes returned by the process's own watches.
+	onChanges func(Changes)
 }
 
-// Changes are what a watch brought beyond a revision.
+// Changes are the events of one watch after the revision After.
 type Changes struct {
 	After  int64
 	Events store.Events
-	// SinceRecovery is how long ago the store came back, by who tells this; 0 where it
-	// was always there. Entries that vanish then may only have lapsed.
+	// SinceRecovery is the time since the store became reachable again, as seen by the
+	// sender, or 0 if it never was unreachable. Shortly after a recovery, deleted
+	// entries may only have expired.
 	SinceRecovery time.Duration
 }
 
-// Confirmation is what a process says of its view: that it has all changes up to
-// a revision, and how long ago it was complete.
+// Confirmation states that a process's view has all changes up to a revision, and how
+// long ago it was known to be complete.
 type Confirmation struct {
 	Revision      int64
 	Age           time.Duration
 	SinceRecovery time.Duration
 }
 
-// OnChanges has called told with the changes that this process's own watches bring.
-// It is set before the follower runs.
-func (f *Follower) OnChanges(told func(Changes)) {
-	f.told = told
+// OnChanges sets the function that is called with the changes returned by the process's
+// own watches. It must be called before Run.
+func (f *Follower) OnChanges(notify func(Changes)) {
+	f.onChanges = notify
 }
 
-// confirmedFor is for how long a call of its own lets a process confirm the view to
-// others: beyond it, it has left the watching to them.
-const confirmedFor = 2 * time.Second
+// maxConfirmationAge is how long after its own call a process may confirm the view to
+// its peers. A process whose last call is older relies on its peers itself.
+const maxConfirmationAge = 2 * time.Second
 
-// Confirmation returns what this process can confirm to the others by its own
-// calls; ok is false where that is nothing.
+// Confirmation returns what the process can confirm to its peers from its own calls. ok
+// is false if there is no listing or the last call is too old.
 func (f *Follower) Confirmation() (c Confirmation, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c = Confirmation{Revision: f.revision, Age: f.direct.Since(), SinceRecovery: f.sinceBack()}
-	return c, f.listed.Load() && f.direct != 0 && c.Age < confirmedFor
+	c = Confirmation{Revision: f.revision, Age: f.ownConfirmedAt.Since(), SinceRecovery: f.sinceRecoveryOrZero()}
+	return c, f.listed.Load() && f.ownConfirmedAt != 0 && c.Age < maxConfirmationAge
 }
 
-// sinceBack returns how long ago the store came back; 0 where it was always there.
-func (f *Follower) sinceBack() time.Duration {
+// sinceRecoveryOrZero is SinceRecovery, with 0 for a store that has not recovered.
+func (f *Follower) sinceRecoveryOrZero() time.Duration {
 	since, ok := f.SinceRecovery()
 	if !ok {
 		return 0
@@ -76,173 +77,180 @@
 	return max(since, 1)
 }
 
-// ReceiveChanges takes changes that another process's watch brought. Where this one lacks
-// some before them it will ask the store itself; while it lists, it takes none, as
-// the listing may be older than they are.
+// ReceiveChanges applies the changes that a peer's watch returned. If changes before
+// them are missing, the follower calls the store. While a new listing is needed,
+// changes are ignored, because the listing may be older than they are.
 func (f *Follower) ReceiveChanges(c Changes) {
-	if !f.listed.Load() || f.forgotten() {
+	if !f.listed.Load() || f.isCompacted() {
 		return
 	}
-	f.heardBack(c.SinceRecovery)
-	if c.After > f.at() {
-		f.wake()
+	f.receiveRecovery(c.SinceRecovery)
+	if c.After > f.currentRevision() {
+		f.requestWatch()
 		return
 	}
 	f.apply(c.Events.Events, c.Events.Revision)
 }
 
-// ReceiveConfirmation takes another process's confirmation that was given after a
-// moment of this process's clock: whatever happened to it on its way, the view was
-// complete its age before that moment. before is set where the other one's turn to
-// watch comes before this one's.
-func (f *Follower) ReceiveConfirmation(c Confirmation, after clock.BootTime, before bool) {
+// ReceiveConfirmation applies a confirmation that a peer sent after sentAfter, a time
+// of this process's clock. It may have been delayed in transit, so the view counts as
+// complete only up to the confirmation's age before sentAfter. senderRanksBefore is set
+// if the peer precedes this process in the order in which processes take over the
+// watch.
+func (f *Follower) ReceiveConfirmation(c Confirmation, sentAfter clock.BootTime, senderRanksBefore bool) {
 	if !f.listed.Load() {
 		return
 	}
-	f.heardBack(c.SinceRecovery)
-	if c.Revision > f.at() {
-		f.wake()
+	f.receiveRecovery(c.SinceRecovery)
+	if c.Revision > f.currentRevision() {
+		f.requestWatch()
 		return
 	}
-	moment := after.Add(-c.Age)
-	f.reached()
+	completeAt := sentAfter.Add(-c.Age)
+	f.markReachable()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if before && moment > f.served {
-		f.served = moment
+	if senderRanksBefore && completeAt > f.peerConfirmedAt {
+		f.peerConfirmedAt = completeAt
 	}
-	f.advance(moment)
+	f.advanceConfirmed(completeAt)
 }
 
-// heardBack takes another process's word on when the store came back.
-func (f *Follower) heardBack(since time.Duration) {
+// receiveRecovery records a peer's time since the store's recovery, if it is more
+// recent than the known one.
+func (f *Follower) receiveRecovery(since time.Duration) {
 	if since <= 0 {
 		return
 	}
-	if at := int64(clock.Now().Add(-since)); at > f.back.Load() {
-		f.back.Store(at)
+	if at := int64(clock.Now().Add(-since)); at > f.recoveredAt.Load() {
+		f.recoveredAt.Store(at)
 	}
 }
 
-// Reason is why a process watches the store itself; each is a label of the counter
-// of watches.
+// Reason is why a process calls the store's watch. It is the label of the counter of
+// watches.
 type Reason string
 
-// The reasons for a watch.
 const (
-	// Turn: it watches for the others, or there are none.
-	Turn Reason = "turn"
-	// Behind: another process knows of changes that this one lacks.
-	Behind Reason = "behind"
-	// Unheard: nobody whose turn comes before has confirmed the view for too long.
-	Unheard Reason = "unheard"
+	// ReasonFirstInRank: the process watches on behalf of its peers or has none.
+	ReasonFirstInRank Reason = "turn"
+	// ReasonBehind: a peer knows of changes that this process has missed.
+	ReasonBehind Reason = "behind"
+	// ReasonPeersSilent: no peer that ranks before this process has confirmed the view
+	// within PeerTimeout.
+	ReasonPeersSilent Reason = "unheard"
 )
 
-// rest returns for how long this process may go on without a call of its own, and
-// where that is over, why.
-func (f *Follower) rest() (time.Duration, Reason) {
-	if !f.listed.Load() || f.timing.PeerTimeout == nil {
-		return 0, Turn
+// untilWatch returns the time until the process has to call the store itself, and the
+// reason for that call.
+func (f *Follower) untilWatch() (time.Duration, Reason) {
+	if !f.listed.Load() || f.options.PeerTimeout == nil {
+		return 0, ReasonFirstInRank
 	}
-	patience := f.timing.PeerTimeout()
+	peerTimeout := f.options.PeerTimeout()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case patience == 0:
-		return 0, Turn
-	case f.behind || f.lost:
-		return 0, Behind
-	case f.served == 0:
-		return 0, Unheard
+	case peerTimeout == 0:
+		return 0, ReasonFirstInRank
+	case f.behind || f.compacted:
+		return 0, ReasonBehind
+	case f.peerConfirmedAt == 0:
+		return 0, ReasonPeersSilent
 	}
-	return patience - f.served.Since(), Unheard
+	return peerTimeout - f.peerConfirmedAt.Since(), ReasonPeersSilent
 }
 
-func (f *Follower) count(r Reason) {
-	if f.timing.OnWatch != nil {
-		f.timing.OnWatch(r)
+func (f *Follower) countWatch(r Reason) {
+	if f.options.OnWatch != nil {
+		f.options.OnWatch(r)
 	}
 }
 
-// leftToOthers returns for how long a process that could not reach the store leaves
-// trying to those whose turn comes before. Refused calls are paid for too: with a
-// store that is away for eight seconds, a hundred entries that each try by
-// themselves make three thousand. Whoever reaches it first tells the others.
-func (f *Follower) leftToOthers() time.Duration {
-	if !f.listed.Load() || f.timing.PeerTimeout == nil {
+// peerRetryDelay returns how long a process that could not reach the store leaves
+// further attempts to the peers that rank before it; the first one to succeed notifies
+// the others. Failed calls are billed too: during an outage of eight seconds a hundred
+// nodes that retry independently make three thousand calls.
+func (f *Follower) peerRetryDelay() time.Duration {
+	if !f.listed.Load() || f.options.PeerTimeout == nil {
 		return 0
 	}
-	return f.timing.PeerTimeout()
+	return f.options.PeerTimeout()
 }
 
-// idle waits for d, or until there is something that others know.
-func (f *Follower) idle(ctx context.Context, d time.Duration) {
+// wait waits for d, or until a peer is known to have newer changes.
+func (f *Follower) wait(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-f.woken:
+	case <-f.wakeup:
 	case <-ctx.Done():
 	}
 }
 
-// wake has the store asked, as another process knows more.
-func (f *Follower) wake() {
+// requestWatch ends the current wait and makes the next call due at once, because a
+// peer has newer changes.
+func (f *Follower) requestWatch() {
 	f.mu.Lock()
 	f.behind = true
 	f.mu.Unlock()
 	select {
-	case f.woken <- struct{}{}:
+	case f.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func (f *Follower) at() int64 {
+func (f *Follower) currentRevision() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.revision
 }
 
-// apply passes those changes on that are news, up to a revision.
+// apply passes the events after the current revision to the handler and advances the
+// revision.
 func (f *Follower) apply(events []store.Event, revision int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var news []store.Event
+	var unapplied []store.Event
 	for _, e := range events {
 		if e.Revision > f.revision {
-			news = append(news, e)
+			unapplied = append(unapplied, e)
 		}
 	}
 	f.revision = max(f.revision, revision)
-	if len(news) > 0 {
-		f.target.Apply(news)
+	if len(unapplied) > 0 {
+		f.handler.Apply(unapplied)
 	}
 }
 
-// confirm notes that a call of this process's own confirmed the view.
-func (f *Follower) confirm(moment clock.BootTime) {
+// confirmOwn records that one of the process's own calls confirmed the view as of
+// completeAt.
+func (f *Follower) confirmOwn(completeAt clock.BootTime) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.direct, f.behind = moment, false
-	f.advance(moment)
+	f.ownConfirmedAt, f.behind = completeAt, false
+	f.advanceConfirmed(completeAt)
 }
 
-// advance notes that the view is complete up to a moment; the caller holds mu.
-func (f *Follower) advance(moment clock.BootTime) {
-	if int64(moment) > f.checked.Load() {
-		f.checked.Store(int64(moment))
+// advanceConfirmed records that the view was complete as of completeAt. The caller
+// holds mu.
+func (f *Follower) advanceConfirmed(completeAt clock.BootTime) {
+	if int64(completeAt) > f.confirmedAt.Load() {
+		f.confirmedAt.Store(int64(completeAt))
 	}
 }
 
-// forget notes that the store no longer has the changes that come next.
-func (f *Follower) forget() {
+// markCompacted records that the store no longer has the changes after the current
+// revision.
+func (f *Follower) markCompacted() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lost = true
+	f.compacted = true
 }
 
-func (f *Follower) forgotten() bool {
+func (f *Follower) isCompacted() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lost
+	return f.compacted
 }
--- a/lru/parts.go
+++ b/lru/parts.go
@@ -1,88 +1,87 @@
-// Package lru holds what is believed to be in a cache of parts of prompts.
+// Package lru tracks which prompt parts a cache is expected to contain.
 package lru
 
-// Cache are parts of prompts by their hashes, each with its tokens. Beyond a
-// capacity those unused for longest are forgotten, as a cache by last use does. New
-// returns them empty; they are not safe for concurrent use.
+// Cache is a set of prompt parts, each given by its hash and token count. Beyond a
+// capacity in tokens the least recently used parts are evicted. It is not safe for
+// concurrent use.
 type Cache struct {
-	held   map[uint64]*part
-	tokens int
-	// head and tail of the list by last use, newest first.
-	head, tail *part
+	entries map[uint64]*entry
+	tokens  int
+	// head and tail of the list by last use, most recent first.
+	head, tail *entry
 }
 
-type part struct {
+type entry struct {
 	hash       uint64
 	tokens     int
-	prev, next *part
+	prev, next *entry
 }
 
-// New returns no parts.
 func New() *Cache {
-	return &Cache{held: map[uint64]*part{}}
+	return &Cache{entries: map[uint64]*entry{}}
 }
 
-// Has reports whether a part is held.
-func (p *Cache) Has(hash uint64) bool {
-	return p.held[hash] != nil
+func (c *Cache) Has(hash uint64) bool {
+	return c.entries[hash] != nil
 }
 
-// Use notes that a part was sent, and forgets the parts unused for longest
-// beyond capacity tokens; a capacity of 0 is no bound.
-func (p *Cache) Use(hash uint64, tokens, capacity int) {
-	e := p.held[hash]
+// Use marks a part as most recently used, adding it if it is missing, and evicts the
+// least recently used other parts while the total exceeds capacity tokens. A capacity
+// of 0 means unlimited.
+func (c *Cache) Use(hash uint64, tokens, capacity int) {
+	e := c.entries[hash]
 	if e == nil {
-		e = &part{hash: hash, tokens: tokens}
-		p.held[hash] = e
-		p.tokens += tokens
+		e = &entry{hash: hash, tokens: tokens}
+		c.entries[hash] = e
+		c.tokens += tokens
 	} else {
-		p.unlink(e)
+		c.unlink(e)
 	}
-	p.push(e)
-	for capacity > 0 && p.tokens > capacity && p.tail != e {
-		p.drop(p.tail)
+	c.pushFront(e)
+	for capacity > 0 && c.tokens > capacity && c.tail != e {
+		c.evict(c.tail)
 	}
 }
 
-// Len returns how many parts there are.
-func (p *Cache) Len() int {
-	return len(p.held)
+// Len returns the number of parts.
+func (c *Cache) Len() int {
+	return len(c.entries)
 }
 
-// Remove takes a part out that the runner no longer has.
-func (p *Cache) Remove(hash uint64) {
-	if e := p.held[hash]; e != nil {
-		p.drop(e)
+// Remove deletes a part that the modelled cache no longer contains.
+func (c *Cache) Remove(hash uint64) {
+	if e := c.entries[hash]; e != nil {
+		c.evict(e)
 	}
 }
 
-func (p *Cache) drop(e *part) {
-	p.unlink(e)
-	delete(p.held, e.hash)
-	p.tokens -= e.tokens
+func (c *Cache) evict(e *entry) {
+	c.unlink(e)
+	delete(c.entries, e.hash)
+	c.tokens -= e.tokens
 }
 
-func (p *Cache) push(e *part) {
-	e.prev, e.next = nil, p.head
-	if p.head != nil {
-		p.head.prev = e
+func (c *Cache) pushFront(e *entry) {
+	e.prev, e.next = nil, c.head
+	if c.head != nil {
+		c.head.prev = e
 	}
-	p.head = e
-	if p.tail == nil {
-		p.tail = e
+	c.head = e
+	if c.tail == nil {
+		c.tail = e
 	}
 }
 
-func (p *Cache) unlink(e *part) {
+func (c *Cache) unlink(e *entry) {
 	if e.prev != nil {
 		e.prev.next = e.next
 	} else {
-		p.head = e.next
+		c.head = e.next
 	}
 	if e.next != nil {
 		e.next.prev = e.prev
 	} else {
-		p.tail = e.prev
+		c.tail = e.prev
 	}
 	e.prev, e.next = nil, nil
 }
--- a/pulses/held.go
+++ b/pulses/held.go
@@ -8,10 +8,10 @@
 	"acaciakeel/poison"
 )
 
-// EncodeSuspects encodes contents under which targets ended.
-func EncodeSuspects(all []poison.Report) []*keelv1.SuspectContent {
-	out := make([]*keelv1.SuspectContent, 0, len(all))
-	for _, r := range all {
+// EncodeSuspects encodes reports on request contents under which targets crashed.
+func EncodeSuspects(reports []poison.Report) []*keelv1.SuspectContent {
+	out := make([]*keelv1.SuspectContent, 0, len(reports))
+	for _, r := range reports {
 		w := &keelv1.SuspectContent{
 			Fingerprint: r.Content[:], Service: r.Service, Customer: r.Customer, Request: r.Request, RefusedMs: uint64(r.Remaining.Milliseconds()),
 		}
@@ -26,7 +26,8 @@
 	return out
 }
 
-// DecodeSuspects leaves out what names no content.
+// DecodeSuspects decodes reports on suspect contents. A report whose fingerprint has
+// the wrong length is ignored.
 func DecodeSuspects(all []*keelv1.SuspectContent) []poison.Report {
 	var out []poison.Report
 	for _, w := range all {
@@ -35,7 +36,7 @@
 		}
 		r := poison.Report{
 			Case:      poison.Case{Content: poison.Fingerprint(w.Fingerprint), Service: w.Service, Customer: w.Customer, Request: w.Request},
-			Remaining: time.Duration(min(w.RefusedMs, refusedMost)) * time.Millisecond,
+			Remaining: time.Duration(min(w.RefusedMs, maxRefusedMs)) * time.Millisecond,
 		}
 		for _, e := range w.Ends {
 			r.Crashes = append(r.Crashes, poison.Crash{Life: fleet.Instance{ID: e.Target, Born: e.Born}, Cleared: e.Discharged})
@@ -48,29 +49,30 @@
 	return out
 }
 
-// refusedMost is a year in milliseconds: more is no time that could be meant, and would
-// overflow a duration.
-const refusedMost = 365 * 24 * 3600 * 1000
+// maxRefusedMs is one year in milliseconds. Larger values are not plausible and would
+// overflow a time.Duration.
+const maxRefusedMs = 365 * 24 * 3600 * 1000
 
-// EncodeNamings encodes namings of weights.
-func EncodeNamings(all []fleet.DesiredVersion) []*keelv1.WeightsNaming {
+// EncodeNamings encodes the desired versions of models' weights and for how long each
+// has been desired.
+func EncodeNamings(namings []fleet.DesiredVersion) []*keelv1.WeightsNaming {
 	var out []*keelv1.WeightsNaming
-	for _, n := range all {
+	for _, n := range namings {
 		out = append(out, &keelv1.WeightsNaming{Model: n.Model, Version: n.Version, AgeMs: uint64(max(0, n.Age.Milliseconds()))})
 	}
 	return out
 }
 
-// DecodeNamings decodes them.
 func DecodeNamings(all []*keelv1.WeightsNaming) []fleet.DesiredVersion {
 	var out []fleet.DesiredVersion
 	for _, n := range all {
-		// A word is a peer's, not to be trusted to fit.
-		age := time.Duration(min(n.AgeMs, uint64(longestAge.Milliseconds()))) * time.Millisecond
+		// The value comes from the network and may be out of range.
+		age := time.Duration(min(n.AgeMs, uint64(maxAge.Milliseconds()))) * time.Millisecond
 		out = append(out, fleet.DesiredVersion{Model: n.Model, Version: n.Version, Age: age})
 	}
 	return out
 }
 
-// longestAge bounds the age of a naming that is told: far beyond any bound on weights.
-const longestAge = 24 * time.Hour
+// maxAge bounds the ages of namings and limits that are received. It is far beyond any
+// configured staleness of weights.
+const maxAge = 24 * time.Hour
--- a/pulses/packing.go
+++ b/pulses/packing.go
@@ -8,44 +8,44 @@
 	keelv1 "acaciakeel/api/keel/v1"
 )
 
-// packing spreads a pulse over datagrams of about DatagramBytes each.
-type packing struct {
-	// message is the datagram that is being filled, size about its bytes, and begin
-	// returns the next one with what each of them bears.
-	message *keelv1.Pulse
-	size    int
-	begin   func() *keelv1.Pulse
-	out     [][]byte
-	err     error
+// packer spreads a pulse over datagrams of about DatagramBytes each.
+type packer struct {
+	// message is the datagram being filled and size its approximate encoded size.
+	// newMessage returns an empty datagram with the fields that each datagram carries.
+	message    *keelv1.Pulse
+	size       int
+	newMessage func() *keelv1.Pulse
+	datagrams  [][]byte
+	err        error
 }
 
-func newPacking(first *keelv1.Pulse, begin func() *keelv1.Pulse) *packing {
-	return &packing{message: first, size: proto.Size(first), begin: begin}
+func newPacker(first *keelv1.Pulse, newMessage func() *keelv1.Pulse) *packer {
+	return &packer{message: first, size: proto.Size(first), newMessage: newMessage}
 }
 
-// room makes room for a part of so many bytes, in the next datagram if need be.
-func (p *packing) room(bytes int) {
+// reserve accounts for the given number of bytes, and starts the next datagram if the
+// current one has no space for them.
+func (p *packer) reserve(bytes int) {
 	if p.size+bytes > DatagramBytes {
-		p.next()
+		p.startNext()
 	}
 	p.size += bytes
 }
 
-// next begins the next datagram.
-func (p *packing) next() {
+func (p *packer) startNext() {
 	p.flush()
-	p.message = p.begin()
+	p.message = p.newMessage()
 	p.size = proto.Size(p.message)
 }
 
-func (p *packing) flush() {
+func (p *packer) flush() {
 	datagram, err := Encode(p.message)
 	p.err = errors.Join(p.err, err)
-	p.out = append(p.out, datagram)
+	p.datagrams = append(p.datagrams, datagram)
 }
 
-// end returns the datagrams.
-func (p *packing) end() ([][]byte, error) {
+// finish flushes the last datagram and returns all of them.
+func (p *packer) finish() ([][]byte, error) {
 	p.flush()
-	return p.out, p.err
+	return p.datagrams, p.err
 }
--- a/pulses/wire.go
+++ b/pulses/wire.go
@@ -1,5 +1,6 @@
-// Package pulses encodes what entries tell each other into datagrams, and decodes it. It
-// decides nothing; node tells and takes.
+// Package pulses encodes and decodes the UDP datagrams by which nodes exchange state.
+// It makes no decisions: package node sends the datagrams and applies what they
+// contain.
 package pulses
 
 import (
@@ -17,11 +18,11 @@
 	"acaciakeel/quota"
 )
 
-// DatagramBytes is about how much a datagram holds, to fit one packet of 1,500
-// bytes; what can't be divided goes into a larger one.
+// DatagramBytes is the approximate size of a datagram, chosen to fit one packet of
+// 1,500 bytes. An element that cannot be split may make a datagram larger.
 const DatagramBytes = 1200
 
-// Update is all that one pulse tells.
+// Update is the content of one pulse, the periodic state message of a node.
 type Update struct {
 	Loads    []fleet.Occupancy
 	Findings []fleet.TargetUpdate
@@ -31,95 +32,98 @@
 	Suspects []poison.Report
 	Namings  []fleet.DesiredVersion
 	Limits   quota.UsageUpdate
-	// TargetLimits is what was sent to targets that name limits.
+	// TargetLimits counts requests sent to targets that announce a limit.
 	TargetLimits quota.UsageUpdate
-	// mark and view are of the shared watch of the store.
+	// SentAt and StoreView belong to the shared watch of the store: peers echo SentAt
+	// so that the sender can bound the age of their confirmations.
 	SentAt    clock.BootTime
 	StoreView *keelv1.StoreView
 }
 
-// newsMost bounds each kind of news that waits to be relayed: a second's of a group.
-const newsMost = 4096
+// maxPendingPerKind bounds the queued elements of each kind that wait to be relayed:
+// about one second's worth from a group.
+const maxPendingPerKind = 4096
 
-// AppendRelayed adds what is relayed of other news.
-func (p *Update) AppendRelayed(other Update) {
-	if len(p.Findings) < newsMost {
-		p.Findings = append(p.Findings, other.Findings...)
+// AppendRelayed appends those kinds of elements of other that are relayed to other
+// groups. A kind that has reached maxPendingPerKind is not extended.
+func (u *Update) AppendRelayed(other Update) {
+	if len(u.Findings) < maxPendingPerKind {
+		u.Findings = append(u.Findings, other.Findings...)
 	}
-	if len(p.Caches) < newsMost {
-		p.Caches = append(p.Caches, other.Caches...)
+	if len(u.Caches) < maxPendingPerKind {
+		u.Caches = append(u.Caches, other.Caches...)
 	}
-	if len(p.Saves) < newsMost {
-		p.Saves = append(p.Saves, other.Saves...)
+	if len(u.Saves) < maxPendingPerKind {
+		u.Saves = append(u.Saves, other.Saves...)
 	}
-	if len(p.Suspects) < newsMost {
-		p.Suspects = append(p.Suspects, other.Suspects...)
+	if len(u.Suspects) < maxPendingPerKind {
+		u.Suspects = append(u.Suspects, other.Suspects...)
 	}
 }
 
-// Encode encodes one datagram.
 func Encode(message *keelv1.Pulse) ([]byte, error) {
 	datagram, err := proto.Marshal(message)
 	if err != nil {
-		return nil, fmt.Errorf("encode a pulse: %w", err)
+		return nil, fmt.Errorf("encode pulse: %w", err)
 	}
 	return datagram, nil
 }
 
-// first returns the pulse that a node's news begins with: its load stands whole in it.
-func (p Update) first(sender string) *keelv1.Pulse {
+// firstMessage returns the first datagram of a node's pulse. It contains the node's
+// complete load, so that a receiver can treat missing targets as idle.
+func (u Update) firstMessage(sender string) *keelv1.Pulse {
 	return &keelv1.Pulse{
-		Sender: sender, WholeLoad: true, Loads: encodeLoads(p.Loads), MarkUs: Micros(time.Duration(p.SentAt)),
-		View: p.StoreView, Namings: EncodeNamings(p.Namings),
+		Sender: sender, WholeLoad: true, Loads: encodeLoads(u.Loads), MarkUs: Micros(time.Duration(u.SentAt)),
+		View: u.StoreView, Namings: EncodeNamings(u.Namings),
 	}
 }
 
-// Datagrams encodes a pulse, spread over several where it is large; group is set
-// where it is a whole group's.
-func (p Update) Datagrams(sender string, group *keelv1.GroupNews) ([][]byte, error) {
-	pack := newPacking(p.first(sender), func() *keelv1.Pulse { return &keelv1.Pulse{Sender: sender} })
+// Datagrams encodes the update as one or more datagrams of about DatagramBytes. group
+// is set where the update summarizes a whole group of nodes.
+func (u Update) Datagrams(sender string, group *keelv1.GroupNews) ([][]byte, error) {
+	pack := newPacker(u.firstMessage(sender), func() *keelv1.Pulse { return &keelv1.Pulse{Sender: sender} })
 	if group != nil {
-		begin := func() *keelv1.Pulse {
+		newMessage := func() *keelv1.Pulse {
 			return &keelv1.Pulse{Sender: sender, Group: &keelv1.GroupNews{Group: group.Group, Groups: group.Groups}}
 		}
-		pack = newPacking(begin(), begin)
-		for from := 0; from < len(p.Loads); from += groupLoadsEach {
-			some := p.Loads[from:min(len(p.Loads), from+groupLoadsEach)]
-			pack.room(len(some) * GroupLoadBytes)
-			addGroupLoads(pack.message.Group, some)
+		pack = newPacker(newMessage(), newMessage)
+		for from := 0; from < len(u.Loads); from += groupLoadsPerDatagram {
+			batch := u.Loads[from:min(len(u.Loads), from+groupLoadsPerDatagram)]
+			pack.reserve(len(batch) * GroupLoadBytes)
+			addGroupLoads(pack.message.Group, batch)
 		}
 	}
-	pack.limits(p.Limits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.Limits = w })
-	pack.limits(p.TargetLimits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.TargetLimits = w })
-	for _, w := range EncodeSuspects(p.Suspects) {
-		pack.room(proto.Size(w))
+	pack.addLimits(u.Limits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.Limits = w })
+	pack.addLimits(u.TargetLimits, func(m *keelv1.Pulse, w *keelv1.LimitNews) { m.TargetLimits = w })
+	for _, w := range EncodeSuspects(u.Suspects) {
+		pack.reserve(proto.Size(w))
 		pack.message.Suspects = append(pack.message.Suspects, w)
 	}
-	for _, w := range encodeFindings(p.Findings) {
-		pack.room(proto.Size(w))
+	for _, w := range encodeFindings(u.Findings) {
+		pack.reserve(proto.Size(w))
 		pack.message.Findings = append(pack.message.Findings, w)
 	}
-	for _, w := range EncodeCaches(p.Caches) {
-		pack.room(proto.Size(w))
+	for _, w := range EncodeCaches(u.Caches) {
+		pack.reserve(proto.Size(w))
 		pack.message.Caches = append(pack.message.Caches, w)
 	}
-	for _, w := range encodeSaves(p.Saves) {
-		pack.room(proto.Size(w))
+	for _, w := range encodeSaves(u.Saves) {
+		pack.reserve(proto.Size(w))
 		pack.message.Saves = append(pack.message.Saves, w)
 	}
-	for _, w := range EncodeEngines(p.Engines) {
-		pack.room(proto.Size(w))
+	for _, w := range EncodeEngines(u.Engines) {
+		pack.reserve(proto.Size(w))
 		pack.message.Engines = append(pack.message.Engines, w)
 	}
-	return pack.end()
+	return pack.finish()
 }
 
-// groupLoadsEach is how many targets' loads stand in one datagram of a group's: with
-// its head they fill it.
-const groupLoadsEach = 50
+// groupLoadsPerDatagram is how many target loads fill one datagram of a group's update,
+// including its header.
+const groupLoadsPerDatagram = 50
 
-func addGroupLoads(g *keelv1.GroupNews, all []fleet.Occupancy) {
-	for _, o := range all {
+func addGroupLoads(g *keelv1.GroupNews, loads []fleet.Occupancy) {
+	for _, o := range loads {
 		g.Target = append(g.Target, o.Target.ID)
 		g.Born = append(g.Born, o.Target.Born)
 		g.Inflight = append(g.Inflight, uint32(o.Inflight))
@@ -130,8 +134,8 @@
 	}
 }
 
-// DecodeGroupLoads leaves out what has no figures of its own, as in a datagram of
-// another shape.
+// DecodeGroupLoads decodes the parallel lists of target loads. Where the lists differ
+// in length, as in a datagram of another version, the excess elements are ignored.
 func DecodeGroupLoads(g *keelv1.GroupNews) []fleet.Occupancy {
 	n := min(len(g.Target), len(g.Born), len(g.Inflight), len(g.Long), len(g.PrefillTokens), len(g.Resumable), len(g.Held))
 	out := make([]fleet.Occupancy, 0, n)
@@ -144,9 +148,9 @@
 	return out
 }
 
-func encodeLoads(all []fleet.Occupancy) []*keelv1.TargetLoad {
-	out := make([]*keelv1.TargetLoad, 0, len(all))
-	for _, o := range all {
+func encodeLoads(loads []fleet.Occupancy) []*keelv1.TargetLoad {
+	out := make([]*keelv1.TargetLoad, 0, len(loads))
+	for _, o := range loads {
 		out = append(out, &keelv1.TargetLoad{
 			Target: o.Target.ID, Born: o.Target.Born, Inflight: uint32(o.Inflight), Long: uint32(o.Long),
 			PrefillTokens: uint32(max(0, o.PrefillTokens)), Resumable: uint32(o.Resumable), Held: uint32(max(0, o.HeldTokens)),
@@ -155,7 +159,6 @@
 	return out
 }
 
-// DecodeLoads decodes the load of targets.
 func DecodeLoads(all []*keelv1.TargetLoad) []fleet.Occupancy {
 	out := make([]fleet.Occupancy, 0, len(all))
 	for _, w := range all {
@@ -166,40 +169,40 @@
 	return out
 }
 
-func encodeFindings(all []fleet.TargetUpdate) []*keelv1.TargetFinding {
-	out := make([]*keelv1.TargetFinding, 0, len(all))
-	for _, found := range all {
-		w := &keelv1.TargetFinding{Target: found.Target.ID, Born: found.Target.Born, BusyMs: uint32(found.BusyFor.Milliseconds()), Leaving: found.ShuttingDown}
-		for model, version := range found.Weights {
+func encodeFindings(findings []fleet.TargetUpdate) []*keelv1.TargetFinding {
+	out := make([]*keelv1.TargetFinding, 0, len(findings))
+	for _, finding := range findings {
+		w := &keelv1.TargetFinding{Target: finding.Target.ID, Born: finding.Target.Born, BusyMs: uint32(finding.BusyFor.Milliseconds()), Leaving: finding.ShuttingDown}
+		for model, version := range finding.Weights {
 			w.Weights = append(w.Weights, &keelv1.LoadedWeights{Model: model, Version: version})
 		}
-		w.PartHash, w.PartTokens = encodeParts(found.Parts)
-		w.Limit = encodeTargetLimit(found.Limit)
+		w.PartHash, w.PartTokens = encodeParts(finding.Parts)
+		w.Limit = encodeTargetLimit(finding.Limit)
 		out = append(out, w)
 	}
 	return out
 }
 
-func encodeTargetLimit(told *fleet.LimitUpdate) *keelv1.TargetLimit {
-	if told == nil {
+func encodeTargetLimit(limit *fleet.LimitUpdate) *keelv1.TargetLimit {
+	if limit == nil {
 		return nil
 	}
-	return &keelv1.TargetLimit{Named: told.Declared, Rate: told.Rate, AgeUs: Micros(told.Age)}
+	return &keelv1.TargetLimit{Named: limit.Declared, Rate: limit.Rate, AgeUs: Micros(limit.Age)}
 }
 
-// decodeTargetLimit leaves out a limit that is no figure.
+// decodeTargetLimit returns nil for a missing limit and for one whose rate is negative
+// or NaN.
 func decodeTargetLimit(w *keelv1.TargetLimit) *fleet.LimitUpdate {
 	if w == nil || math.IsNaN(w.Rate) || w.Rate < 0 {
 		return nil
 	}
-	return &fleet.LimitUpdate{Limit: fleet.Limit{Declared: w.Named, Rate: w.Rate}, Age: FromMicros(min(w.AgeUs, Micros(longestAge)))}
+	return &fleet.LimitUpdate{Limit: fleet.Limit{Declared: w.Named, Rate: w.Rate}, Age: FromMicros(min(w.AgeUs, Micros(maxAge)))}
 }
 
-// DecodeFindings decodes what was learnt of targets.
 func DecodeFindings(all []*keelv1.TargetFinding) []fleet.TargetUpdate {
 	out := make([]fleet.TargetUpdate, 0, len(all))
 	for _, w := range all {
-		found := fleet.TargetUpdate{
+		finding := fleet.TargetUpdate{
 			Target:       fleet.Instance{ID: w.Target, Born: w.Born},
 			Weights:      map[string]int64{},
 			BusyFor:      time.Duration(w.BusyMs) * time.Millisecond,
@@ -208,9 +211,9 @@
 			ShuttingDown: w.Leaving,
 		}
 		for _, l := range w.Weights {
-			found.Weights[l.Model] = l.Version
+			finding.Weights[l.Model] = l.Version
 		}
-		out = append(out, found)
+		out = append(out, finding)
 	}
 	return out
 }
@@ -231,10 +234,10 @@
 	return out
 }
 
-// EncodeCaches encodes what changed in caches.
-func EncodeCaches(all []fleet.CacheUpdate) []*keelv1.CacheNews {
-	out := make([]*keelv1.CacheNews, 0, len(all))
-	for _, n := range all {
+// EncodeCaches encodes changes of prefix caches.
+func EncodeCaches(updates []fleet.CacheUpdate) []*keelv1.CacheNews {
+	out := make([]*keelv1.CacheNews, 0, len(updates))
+	for _, n := range updates {
 		w := &keelv1.CacheNews{
 			Address: n.Address, Target: n.Target.ID, Born: n.Target.Born, Boot: n.Boot, Next: n.Next, DroppedHash: n.Evicted, Silent: n.Unresponsive,
 		}
@@ -244,7 +247,6 @@
 	return out
 }
 
-// DecodeCaches decodes it.
 func DecodeCaches(all []*keelv1.CacheNews) []fleet.CacheUpdate {
 	out := make([]fleet.CacheUpdate, 0, len(all))
 	for _, w := range all {
@@ -256,15 +258,15 @@
 	return out
 }
 
-func encodeSaves(all []fleet.Saves) []*keelv1.StoreSaves {
-	out := make([]*keelv1.StoreSaves, 0, len(all))
-	for _, s := range all {
+func encodeSaves(saves []fleet.Saves) []*keelv1.StoreSaves {
+	out := make([]*keelv1.StoreSaves, 0, len(saves))
+	for _, s := range saves {
 		out = append(out, &keelv1.StoreSaves{Store: s.Store, PartHash: s.Parts})
 	}
 	return out
 }
 
-// DecodeSaves decodes the parts that go to stores.
+// DecodeSaves decodes the prompt parts that are being written to stores.
 func DecodeSaves(all []*keelv1.StoreSaves) []fleet.Saves {
 	out := make([]fleet.Saves, 0, len(all))
 	for _, w := range all {
@@ -273,19 +275,19 @@
 	return out
 }
 
-// EncodeEngines encodes what was observed of engines.
-func EncodeEngines(all []forecast.Report) []*keelv1.EngineWord {
-	out := make([]*keelv1.EngineWord, 0, len(all))
-	for _, word := range all {
+// EncodeEngines encodes observations of each service's engines.
+func EncodeEngines(reports []forecast.Report) []*keelv1.EngineWord {
+	out := make([]*keelv1.EngineWord, 0, len(reports))
+	for _, report := range reports {
 		w := &keelv1.EngineWord{
-			Service: word.Service, Weight: float32(word.Sums.Weight), LoadMs: uint32(word.WeightLoads.IdleDuration.Milliseconds()), LoadsSeen: uint32(word.WeightLoads.Samples),
-			Light: float32(word.OfferedLoad.Light), Heavy: float32(word.OfferedLoad.Heavy), Heavies: float32(word.OfferedLoad.HeavyRate), Longs: float32(word.OfferedLoad.LongRate),
-			RunSeconds: float32(word.SlotHold.Seconds), RunTokens: float32(word.SlotHold.Tokens),
+			Service: report.Service, Weight: float32(report.Sums.Weight), LoadMs: uint32(report.WeightLoads.IdleDuration.Milliseconds()), LoadsSeen: uint32(report.WeightLoads.Samples),
+			Light: float32(report.OfferedLoad.Light), Heavy: float32(report.OfferedLoad.Heavy), Heavies: float32(report.OfferedLoad.HeavyRate), Longs: float32(report.OfferedLoad.LongRate),
+			RunSeconds: float32(report.SlotHold.Seconds), RunTokens: float32(report.SlotHold.Tokens),
 		}
-		for _, x := range word.Sums.Cross {
+		for _, x := range report.Sums.Cross {
 			w.Cross = append(w.Cross, float32(x))
 		}
-		for _, x := range word.Sums.Right {
+		for _, x := range report.Sums.Right {
 			w.Right = append(w.Right, float32(x))
 		}
 		out = append(out, w)
@@ -293,11 +295,12 @@
 	return out
 }
 
-// DecodeEngines leaves out words of another shape, such as a later version's.
+// DecodeEngines decodes observations of engines. A report whose matrices have another
+// size, such as one of a later version, is ignored.
 func DecodeEngines(all []*keelv1.EngineWord) []forecast.Report {
 	out := make([]forecast.Report, 0, len(all))
 	for _, w := range all {
-		word := forecast.Report{
+		report := forecast.Report{
 			Service: w.Service,
 			WeightLoads: forecast.WeightLoads{
 				IdleDuration: time.Duration(w.LoadMs) * time.Millisecond, Samples: int(w.LoadsSeen),
@@ -305,53 +308,56 @@
 			OfferedLoad: forecast.OfferedLoad{Light: float64(w.Light), Heavy: float64(w.Heavy), HeavyRate: float64(w.Heavies), LongRate: float64(w.Longs)},
 			SlotHold:    forecast.TimePerToken{Seconds: float64(w.RunSeconds), Tokens: float64(w.RunTokens)},
 		}
-		if len(w.Cross) != len(word.Sums.Cross) || len(w.Right) != len(word.Sums.Right) {
+		if len(w.Cross) != len(report.Sums.Cross) || len(w.Right) != len(report.Sums.Right) {
 			continue
 		}
-		word.Sums.Weight = float64(w.Weight)
+		report.Sums.Weight = float64(w.Weight)
 		for i, x := range w.Cross {
-			word.Sums.Cross[i] = float64(x)
+			report.Sums.Cross[i] = float64(x)
 		}
 		for i, x := range w.Right {
-			word.Sums.Right[i] = float64(x)
+			report.Sums.Right[i] = float64(x)
 		}
-		out = append(out, word)
+		out = append(out, report)
 	}
 	return out
 }
 
-// GroupLoadBytes is about how many bytes a target's load takes in a digest.
+// GroupLoadBytes is the approximate encoded size of one target's load in a group's
+// update.
 const GroupLoadBytes = 22
 
-// PartBytes is about how many bytes a part takes: its hash and its tokens.
+// PartBytes is the approximate encoded size of one prompt part: its hash and its token
+// count.
 const PartBytes = 11
 
-// TruncateTo cuts suspects, findings, saves and news of caches, in this order, to what fits so many
-// bytes, and returns about how many are used. Of each kind the newest stay.
-func (p *Update) TruncateTo(room int) (used int) {
-	p.Suspects = newest(p.Suspects, &used, room, func(r poison.Report) int { return 100 + 30*len(r.Crashes) })
-	p.Findings = newest(p.Findings, &used, room, func(f fleet.TargetUpdate) int { return 60 + PartBytes*len(f.Parts) })
-	p.Saves = newest(p.Saves, &used, room, func(s fleet.Saves) int { return 24 + 8*len(s.Parts) })
-	p.Caches = newest(p.Caches, &used, room, func(n fleet.CacheUpdate) int { return 48 + PartBytes*len(n.Stored) + 8*len(n.Evicted) })
+// TruncateTo drops the oldest elements so that the update fits within budget bytes, and
+// returns the approximate number of bytes used. Space is assigned in the order
+// suspects, findings, saves, caches.
+func (u *Update) TruncateTo(budget int) (used int) {
+	u.Suspects = newest(u.Suspects, &used, budget, func(r poison.Report) int { return 100 + 30*len(r.Crashes) })
+	u.Findings = newest(u.Findings, &used, budget, func(f fleet.TargetUpdate) int { return 60 + PartBytes*len(f.Parts) })
+	u.Saves = newest(u.Saves, &used, budget, func(s fleet.Saves) int { return 24 + 8*len(s.Parts) })
+	u.Caches = newest(u.Caches, &used, budget, func(n fleet.CacheUpdate) int { return 48 + PartBytes*len(n.Stored) + 8*len(n.Evicted) })
 	return used
 }
 
-// newest returns the last of all that fit room beside what is used already.
-func newest[T any](all []T, used *int, room int, size func(T) int) []T {
+// newest returns the longest suffix of all that fits the budget, given the bytes
+// already used, and adds its size to used.
+func newest[T any](all []T, used *int, budget int, size func(T) int) []T {
 	from := len(all)
-	for from > 0 && *used+size(all[from-1]) <= room {
+	for from > 0 && *used+size(all[from-1]) <= budget {
 		from--
 		*used += size(all[from])
 	}
 	return all[from:]
 }
 
-// Micros returns a time in whole microseconds; one below 0 is none.
+// Micros returns d in whole microseconds, or 0 if d is negative.
 func Micros(d time.Duration) uint64 {
 	return uint64(max(0, d.Microseconds()))
 }
 
-// FromMicros returns it as a duration.
 func FromMicros(us uint64) time.Duration {
 	return time.Duration(us) * time.Microsecond
 }
