--- a/node/node.go
+++ b/node/node.go
@@ -160,7 +160,7 @@
 	n.view.follower.OnChanges(n.pulse.watched)
 	n.registerGauges()
 	n.events = fleet.NewCacheWatcher(targets, runners)
-	bounds := router.Bounds{OldWeights: n.view.oldWeights, Begin: time.Duration(s.Bounds.VersionMS)*time.Millisecond - beginMargin}
+	bounds := router.Bounds{MaxStaleness: n.view.oldWeights, MaxStartStaleness: time.Duration(s.Bounds.VersionMS)*time.Millisecond - beginMargin}
 	retries := router.RetryBounds{
 		Ratio:  s.Bounds.RetryRatio,
 		Extra:  s.Bounds.RetryExtra,
--- a/node/stop.go
+++ b/node/stop.go
@@ -29,7 +29,7 @@
 	end := begun.Add(n.settings.Bounds.Grace() - stopMargin)
 	return door.Ending{
 		Answers:   end.Add(-lastAnswers),
-		Interrupt: func() { n.interrupt(router.ErrEnding) },
+		Interrupt: func() { n.interrupt(router.ErrShutdown) },
 		End:       end,
 	}
 }
@@ -49,7 +49,7 @@
 	latest := time.AfterFunc(time.Until(e.Answers), handOver)
 	defer latest.Stop()
 	<-notice.C
-	n.router.Leave(e.Answers)
+	n.router.SetShutdownDeadline(e.Answers)
 	if n.doors.front.End(e) {
 		n.log.WithField("event", "stopped").Info("all requests ended")
 	} else {
--- a/router/describe.go
+++ b/router/describe.go
@@ -20,8 +20,8 @@
 		}
 		fields["fetched"] = s.last.FetchTokens
 		fields["source"] = s.last.Source
-		fields["input"] = s.in.Input
-		fields["output"] = s.in.Output
+		fields["input"] = s.in.InputTokens
+		fields["output"] = s.in.MaxOutputTokens
 		fields["expected_ms"] = s.last.FirstToken.Milliseconds()
 		fields["wait_ms"] = s.last.Wait.Milliseconds()
 	}
--- a/router/endings.go
+++ b/router/endings.go
@@ -61,7 +61,7 @@
 	found := e.listens(target)
 	e.take(target, found)
 	close(answered)
-	if found == Present {
+	if found == Listening {
 		time.Sleep(askAgain)
 		found = e.listens(target)
 		e.take(target, found)
@@ -74,8 +74,8 @@
 
 // take takes what was found of a target. Of one that has ended nobody else has to find
 // that out by a request.
-func (e *endings) take(target fleet.Target, found Presence) {
-	if found != Absent {
+func (e *endings) take(target fleet.Target, found ProbeResult) {
+	if found != NotListening {
 		return
 	}
 	now := time.Now()
@@ -83,10 +83,10 @@
 	e.table.RecordCrash(target.Instance(), now)
 }
 
-func (e *endings) listens(target fleet.Target) Presence {
+func (e *endings) listens(target fleet.Target) ProbeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), askMost)
 	defer cancel()
-	return e.sender.Listens(ctx, target)
+	return e.sender.Probe(ctx, target)
 }
 
 // byPeer reports whether an answer was ended by its target or the way there, and not
--- a/router/endings_test.go
+++ b/router/endings_test.go
@@ -21,11 +21,11 @@
 // listener is a sender that only says whether targets listen.
 type listener struct {
 	Sender
-	says  []Presence
+	says  []ProbeResult
 	asked atomic.Int32
 }
 
-func (l *listener) Listens(context.Context, fleet.Target) Presence {
+func (l *listener) Probe(context.Context, fleet.Target) ProbeResult {
 	n := int(l.asked.Add(1))
 	return l.says[min(n, len(l.says))-1]
 }
@@ -34,7 +34,7 @@
 // has ended: one question has to do, or a crash at full load costs as many connections
 // as there are requests.
 func TestOneQuestionForAllRequestsOfATarget(t *testing.T) {
-	says := &listener{says: []Presence{Present, Absent}}
+	says := &listener{says: []ProbeResult{Listening, NotListening}}
 	log, lines := logtest.NewNullLogger()
 	e := newEndings(says, fleet.New(""), poison.New(nil), log)
 	var wg sync.WaitGroup
@@ -47,7 +47,7 @@
 		t.Errorf("the target was asked %d times", n)
 	}
 	last := lines.LastEntry()
-	if last == nil || last.Data["presence"] != Absent || last.Level != logrus.InfoLevel {
+	if last == nil || last.Data["presence"] != NotListening || last.Level != logrus.InfoLevel {
 		t.Errorf("the line is %v", last)
 	}
 }
--- a/router/outcome.go
+++ b/router/outcome.go
@@ -24,7 +24,7 @@
 
 // held is a whole answer that waits to be passed on.
 type held struct {
-	head *Answer
+	head *Response
 	body []byte
 }
 
@@ -40,7 +40,7 @@
 const fullPause = 30 * time.Millisecond
 
 // notRun handles answers by which the target did not run the request.
-func (s *session) notRun(choice fleet.Choice, a *Answer) (result, bool) {
+func (s *session) notRun(choice fleet.Choice, a *Response) (result, bool) {
 	if !a.NotRun {
 		return result{}, false
 	}
@@ -48,10 +48,10 @@
 	f := s.router.fleet
 	kind := refusal.QueueFull
 	switch {
-	case a.Moved && a.Instance != "" && a.Instance != choice.Target.ID:
+	case a.Misdirected && a.InstanceID != "" && a.InstanceID != choice.Target.ID:
 		f.RecordEnd(choice.Target.Instance())
 		kind = refusal.TargetNotReady
-	case a.Moved:
+	case a.Misdirected:
 		s.misjudged(choice, a)
 		kind = refusal.TargetNotReady
 	case choice.WeightsVersion < f.DesiredVersion(s.in.Model):
@@ -67,13 +67,13 @@
 // misjudged corrects the belief in a runner's weights after it said that they
 // are others: where it does not say which, it has most likely just loaded the
 // newest.
-func (s *session) misjudged(choice fleet.Choice, a *Answer) {
+func (s *session) misjudged(choice fleet.Choice, a *Response) {
 	f := s.router.fleet
-	if a.Weights == 0 {
+	if a.WeightsVersion == 0 {
 		f.GuessWeights(choice.Target.Instance(), s.in.Model)
 		return
 	}
-	f.RecordWeights(choice.Target.Instance(), s.in.Model, a.Weights, time.Now())
+	f.RecordWeights(choice.Target.Instance(), s.in.Model, a.WeightsVersion, time.Now())
 }
 
 // unanswered handles a send without an answer.
@@ -124,7 +124,7 @@
 
 // whole reads a whole answer before it is passed on, so that one that breaks
 // off can still become a retry or a clear failure.
-func (s *session) whole(choice fleet.Choice, a *Answer) result {
+func (s *session) whole(choice fleet.Choice, a *Response) result {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer+1))
 	if err != nil || len(body) > maxAnswer {
 		s.router.fleet.RecordFailure(choice.Target.Instance(), time.Now())
@@ -146,9 +146,9 @@
 
 // pass writes a whole answer.
 func (s *session) pass(h *held) *refusal.Error {
-	h.head.Length = int64(len(h.body))
+	h.head.ContentLength = int64(len(h.body))
 	s.begun, s.status = true, h.head.Status
-	if err := s.reply.Begin(h.head); err != nil {
+	if err := s.reply.WriteHeader(h.head); err != nil {
 		return clientLeft(err)
 	}
 	if err := s.reply.Write(h.body); err != nil {
--- a/router/recall.go
+++ b/router/recall.go
@@ -31,7 +31,7 @@
 
 // recall watches over a send until its run has begun.
 func (s *session) recall(choice fleet.Choice, cancel context.CancelFunc) *recall {
-	r := &recall{fleet: s.router.fleet, choice: choice, within: s.router.bounds.Begin, cancel: cancel}
+	r := &recall{fleet: s.router.fleet, choice: choice, within: s.router.bounds.MaxStartStaleness, cancel: cancel}
 	if choice.Model == "" || r.within <= 0 {
 		r.begun = true
 		return r
--- a/router/request.go
+++ b/router/request.go
@@ -41,61 +41,61 @@
 	// Model is empty for requests that carry no prompt.
 	Model  string
 	Prefix []Part
-	// Input is the number of prompt tokens, Output the most that may be generated.
-	Input  int
-	Output int
+	// InputTokens is the number of prompt tokens, Output the most that may be generated.
+	InputTokens     int
+	MaxOutputTokens int
 	// Size is what the request counts against its customer's limit in tokens.
 	Size quota.Size
-	// LastEvent is the event after which the client resumes a stream.
-	LastEvent string
+	// LastEventID is the event after which the client resumes a stream.
+	LastEventID string
 }
 
-// Send is one attempt at one target.
-type Send struct {
+// Attempt is one attempt at one target.
+type Attempt struct {
 	Request  *Request
-	Runner   fleet.Target
+	Target   fleet.Target
 	Deadline time.Time
 	// Customer is the name that the target gets; empty on public routes.
 	Customer string
 	// Priority is 0 (first) to 9, or below 0 for none.
 	Priority int
-	// Weights is the version that the target must have; 0 is any.
-	Weights int64
-	// Salt names whose cached parts, and of which weights, may be used.
-	Salt string
+	// WeightsVersion is the version that the target must have; 0 is any.
+	WeightsVersion int64
+	// CacheSalt names whose cached parts, and of which weights, may be used.
+	CacheSalt string
 	// FetchFrom is the address of a target that holds more of the prompt.
 	FetchFrom string
 	// SaveTo is the address of a store that is to get the prompt's parts.
 	SaveTo string
-	// After is the last event that the client has of a stream that goes on.
-	After string
+	// LastEventID is the last event that the client has of a stream that goes on.
+	LastEventID string
 }
 
-// Answer is the head of a target's answer; Body must be closed.
-type Answer struct {
+// Response is the head of a target's answer; Body must be closed.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// Length is the body's, or -1 where its end shows it.
-	Length int64
+	// ContentLength is the body's, or -1 where its end shows it.
+	ContentLength int64
 	// NotRun says that the target did not run the request.
 	NotRun bool
-	// Moved says that another target has the address, or that it has other weights.
-	Moved    bool
-	Instance string
-	// Own is set where the answer bears the request's id.
-	Own bool
+	// Misdirected says that another target has the address, or that it has other weights.
+	Misdirected bool
+	InstanceID  string
+	// MatchesRequest is set where the answer bears the request's id.
+	MatchesRequest bool
 	// Sealed is set where the target vouches for its body, Encoded where the
 	// body isn't the target's own.
 	Sealed  bool
 	Encoded bool
-	// Leaving says that the target closes the connection.
-	Leaving bool
-	// Weights is the version that answers; 0 where it does not say.
-	Weights int64
-	Load    fleet.Load
-	HasLoad bool
-	Notice  fleet.Notice
+	// CloseConnection says that the target closes the connection.
+	CloseConnection bool
+	// WeightsVersion is the version that answers; 0 where it does not say.
+	WeightsVersion int64
+	Load           fleet.Load
+	HasLoad        bool
+	Notice         fleet.Notice
 }
 
 // SendError is a send that got no answer.
@@ -116,38 +116,38 @@
 type Sender interface {
 	// Send sends one attempt and returns once the head of its answer is there.
 	// Any error is a *SendError. The end of ctx takes the request back.
-	Send(ctx context.Context, s *Send) (*Answer, error)
-	// Listens asks whether anybody takes connections at a target's address.
-	Listens(ctx context.Context, target fleet.Target) Presence
+	Send(ctx context.Context, s *Attempt) (*Response, error)
+	// Probe asks whether anybody takes connections at a target's address.
+	Probe(ctx context.Context, target fleet.Target) ProbeResult
 }
 
-// Presence is what a target's address says of the process there.
-type Presence string
+// ProbeResult is what a target's address says of the process there.
+type ProbeResult string
 
-// What an address says. Only Absent proves something: a machine that is there says
+// What an address says. Only NotListening proves something: a machine that is there says
 // that nobody listens, so that the process has ended.
 const (
-	Present Presence = "present"
-	Absent  Presence = "absent"
-	Unclear Presence = "unclear"
+	Listening    ProbeResult = "present"
+	NotListening ProbeResult = "absent"
+	Inconclusive ProbeResult = "unclear"
 )
 
-// Reply is where an answer goes. Its methods return an error once the client
+// ResponseWriter is where an answer goes. Its methods return an error once the client
 // is gone.
-type Reply interface {
-	// Begin writes the head of a target's answer.
-	Begin(a *Answer) error
+type ResponseWriter interface {
+	// WriteHeader writes the head of a target's answer.
+	WriteHeader(a *Response) error
 	// Write passes bytes of the body on at once.
 	Write(p []byte) error
-	// Break ends an answer that has begun so that it can't look complete.
-	Break()
+	// Abort ends an answer that has begun so that it can't look complete.
+	Abort()
 }
 
 // chain returns the prompt's boundaries under a salt. The level by which
 // placement ranks targets is the deepest part that other requests share: the
 // last part belongs to the request itself.
 func (r *Request) chain(salt string) prefix.Chain {
-	c := prefix.Chain{Tokens: r.Input}
+	c := prefix.Chain{Tokens: r.InputTokens}
 	root := prefix.Root(salt)
 	tokens := 0
 	for _, p := range r.Prefix {
--- a/router/router.go
+++ b/router/router.go
@@ -20,8 +20,8 @@
 	"acaciakeel/retry"
 )
 
-// Configuration is what a router asks of the process's view of the operators' intent.
-type Configuration interface {
+// ConfigSource is what a router asks of the process's view of the operators' intent.
+type ConfigSource interface {
 	// Config returns the configuration in force, or nil before the first.
 	Config() *catalog.Config
 	// Fresh reports whether the view was confirmed recently enough for a key
@@ -32,18 +32,18 @@
 
 // Bounds are the figures that the deployment sets.
 type Bounds struct {
-	// OldWeights is for how long after newer weights were named requests may
+	// MaxStaleness is for how long after newer weights were named requests may
 	// be sent to targets with older ones.
-	OldWeights time.Duration
-	// Begin is for how long after that a run may begin on older ones, wherever it
+	MaxStaleness time.Duration
+	// MaxStartStaleness is for how long after that a run may begin on older ones, wherever it
 	// waits. It ends before the deployment's bound, so that a request that is taken
 	// back then has not begun when the bound comes.
-	Begin time.Duration
+	MaxStartStaleness time.Duration
 }
 
 // Router serves requests. It is safe for concurrent use.
 type Router struct {
-	config  Configuration
+	config  ConfigSource
 	fleet   *fleet.Fleet
 	sender  Sender
 	budgets *budgets
@@ -59,7 +59,7 @@
 
 // New returns a router, which keeps in t the contents under which targets end, and
 // customers within their limits by q.
-func New(c Configuration, f *fleet.Fleet, s Sender, t *poison.Table, q *quota.Limiter, m *Metrics, log logrus.FieldLogger, b Bounds, r RetryBounds) *Router {
+func New(c ConfigSource, f *fleet.Fleet, s Sender, t *poison.Table, q *quota.Limiter, m *Metrics, log logrus.FieldLogger, b Bounds, r RetryBounds) *Router {
 	return &Router{config: c, fleet: f, sender: s, budgets: newBudgets(r), limits: q, poison: t, endings: newEndings(s, f, t, log), metrics: m, log: log, bounds: b}
 }
 
@@ -86,7 +86,7 @@
 // Serve answers a request. It returns nil once the answer is whole, or why
 // there is none; then nothing has been written, unless the refusal's kind is
 // Interrupted.
-func (r *Router) Serve(ctx context.Context, req *Request, reply Reply) *refusal.Error {
+func (r *Router) Serve(ctx context.Context, req *Request, reply ResponseWriter) *refusal.Error {
 	in, refused := r.admit(req)
 	if refused != nil {
 		return r.finish(ctx, in, nil, refused)
@@ -228,7 +228,7 @@
 		return refused
 	}
 	switch {
-	case errors.Is(context.Cause(ctx), ErrEnding):
+	case errors.Is(context.Cause(ctx), ErrShutdown):
 		out := refusal.New(refusal.Stopping, "ask another entry; look the result up where it may have run", "this entry stopped before the request ended").WithRetryAfter(leaveRetryAfter)
 		out.Outcome = refused.Outcome
 		return out
--- a/router/session.go
+++ b/router/session.go
@@ -18,7 +18,7 @@
 type session struct {
 	router *Router
 	in     *admitted
-	reply  Reply
+	reply  ResponseWriter
 	// charge is what the request counts against its customer's limit.
 	charge *quota.Charge
 	// sends counts sends, ran those that may have run.
@@ -91,7 +91,7 @@
 // giveUp passes on the target's own failure, or returns the refusal.
 func (s *session) giveUp(out result) *refusal.Error {
 	if s.begun {
-		s.reply.Break()
+		s.reply.Abort()
 		broken := refusal.New(refusal.Interrupted, "resume after the last event, where the route allows it", "the stream broke off: %s", out.refused.Message)
 		broken.Outcome = refusal.Ran
 		return broken
@@ -118,7 +118,7 @@
 	q := fleet.Query{
 		Service:       in.service.Name,
 		Tried:         s.tried,
-		MaxStaleness:  s.router.bounds.OldWeights,
+		MaxStaleness:  s.router.bounds.MaxStaleness,
 		CostWeights:   cacheWeights,
 		Isolate:       s.judged.Status == poison.Suspect,
 		AlwaysIsolate: s.judged.Crashes > 1,
@@ -128,7 +128,7 @@
 		q.Model = in.Model
 		q.TokenBytes = in.service.Engine.TokenBytes
 		q.Capacity = in.service.Engine.CapacityTokens
-		q.InputTokens, q.MaxOutputTokens, q.Objective = in.Input, in.Output, in.route.Objective
+		q.InputTokens, q.MaxOutputTokens, q.Objective = in.InputTokens, in.MaxOutputTokens, in.route.Objective
 		q.Chain = func(weights int64) prefix.Chain { return in.chain(in.salt(weights)) }
 	}
 	return q
@@ -163,10 +163,10 @@
 		return out
 	}
 	s.ran++
-	if answer.Own {
+	if answer.MatchesRequest {
 		f.RecordAccepted(choice.Target.Instance(), s.sentAt)
 	}
-	if !answer.Own || answer.Status < http.StatusOK || (answer.Status < 300 && (!answer.Sealed || answer.Encoded)) {
+	if !answer.MatchesRequest || answer.Status < http.StatusOK || (answer.Status < 300 && (!answer.Sealed || answer.Encoded)) {
 		f.RecordFailure(choice.Target.Instance(), time.Now())
 		return s.lost(retry.Interrupted, "the target %s sent bytes that are not its answer to this request", choice.Target.ID)
 	}
@@ -203,14 +203,14 @@
 
 func (s *session) stay(choice fleet.Choice) fleet.RequestLoad {
 	return fleet.RequestLoad{
-		UncachedTokens:  max(0, s.in.Input-choice.CachedTokens-choice.FetchTokens),
+		UncachedTokens:  max(0, s.in.InputTokens-choice.CachedTokens-choice.FetchTokens),
 		Transfer:        choice.Transfer,
-		PromptTokens:    s.in.Input,
-		MaxOutputTokens: s.in.Output,
+		PromptTokens:    s.in.InputTokens,
+		MaxOutputTokens: s.in.MaxOutputTokens,
 		Chain:           choice.Chain,
 		Capacity:        s.capacity(),
 		Long:            choice.Long,
-		HeldTokens:      fleet.EstimateHeldTokens(s.in.Input, choice.CachedTokens, s.in.Output),
+		HeldTokens:      fleet.EstimateHeldTokens(s.in.InputTokens, choice.CachedTokens, s.in.MaxOutputTokens),
 		// The send that begins now counts as one that may have run.
 		Resumable: s.in.route.Repeatable() && s.ran+1 < s.in.route.Attempts && s.sends < retry.MaxAttempts,
 	}
@@ -224,12 +224,12 @@
 	return s.in.service.Engine.CapacityTokens
 }
 
-func (s *session) newSend(choice fleet.Choice) *Send {
+func (s *session) newSend(choice fleet.Choice) *Attempt {
 	in := s.in
-	send := &Send{Request: in.Request, Runner: choice.Target, Deadline: in.limit, Customer: in.customerName(), Priority: -1, Weights: choice.WeightsVersion, After: s.after()}
+	send := &Attempt{Request: in.Request, Target: choice.Target, Deadline: in.limit, Customer: in.customerName(), Priority: -1, WeightsVersion: choice.WeightsVersion, LastEventID: s.after()}
 	if in.Model != "" {
 		send.Priority = in.priority()
-		send.Salt = in.salt(choice.WeightsVersion)
+		send.CacheSalt = in.salt(choice.WeightsVersion)
 		send.FetchFrom = choice.Source
 		send.SaveTo = choice.SaveTo
 	}
@@ -237,15 +237,15 @@
 }
 
 // learn takes what an answer says of its target beside the answer itself.
-func (s *session) learn(choice fleet.Choice, a *Answer) {
+func (s *session) learn(choice fleet.Choice, a *Response) {
 	f := s.router.fleet
 	if a.HasLoad {
 		f.RecordLoad(choice.Target.Instance(), a.Load, time.Now())
 	}
-	if a.Own {
+	if a.MatchesRequest {
 		s.notice(choice, a.Notice)
 	}
-	if s.in.Model != "" && a.Own {
-		f.RecordWeights(choice.Target.Instance(), s.in.Model, a.Weights, time.Now())
+	if s.in.Model != "" && a.MatchesRequest {
+		f.RecordWeights(choice.Target.Instance(), s.in.Model, a.WeightsVersion, time.Now())
 	}
 }
--- a/router/stream.go
+++ b/router/stream.go
@@ -23,12 +23,12 @@
 	if s.hasEvent {
 		return strconv.FormatInt(s.lastEvent, 10)
 	}
-	return s.in.LastEvent
+	return s.in.LastEventID
 }
 
 // stream passes a stream of events on, each as it is complete: a target may
 // stop in the middle of an event, and half of one can't be taken back.
-func (s *session) stream(choice fleet.Choice, a *Answer) result {
+func (s *session) stream(choice fleet.Choice, a *Response) result {
 	in := bufio.NewReader(a.Body)
 	for {
 		event, err := readEvent(in)
@@ -77,7 +77,7 @@
 
 // ended passes the end of a stream on. What follows the last whole event is
 // the target's own and goes along.
-func (s *session) ended(choice fleet.Choice, a *Answer, rest []byte) result {
+func (s *session) ended(choice fleet.Choice, a *Response, rest []byte) result {
 	s.router.fleet.RecordSuccess(choice.Target.Instance())
 	s.ticket.Complete(time.Now())
 	s.router.poison.RecordSuccess(s.in.content, time.Now())
@@ -90,7 +90,7 @@
 }
 
 // forward passes an event on, unless the client has it from an earlier target.
-func (s *session) forward(a *Answer, event []byte) error {
+func (s *session) forward(a *Response, event []byte) error {
 	id, ok := eventID(event)
 	if ok && s.hasEvent && id <= s.lastEvent {
 		return nil
@@ -101,11 +101,11 @@
 	return s.write(a, event)
 }
 
-func (s *session) write(a *Answer, p []byte) error {
+func (s *session) write(a *Response, p []byte) error {
 	if !s.begun {
 		s.begun, s.status = true, a.Status
-		a.Length = -1
-		if err := s.reply.Begin(a); err != nil {
+		a.ContentLength = -1
+		if err := s.reply.WriteHeader(a); err != nil {
 			return err
 		}
 	}
