--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -313,7 +313,7 @@
 		PenaltySeconds: s.health.Penalty(now).Seconds(),
 		NetworkSeconds: f.linkCost(s).Seconds(),
 	}
-	if from.moved.FromRunner == 0 {
+	if from.moved.FromTarget == 0 {
 		a.NetworkSeconds += f.farFetch(q, chain, s, cached).Seconds()
 	}
 	a.NetworkSeconds += displaced * e.BacklogTime(from.tokens, now).Seconds()
--- a/poison/news.go
+++ b/poison/news.go
@@ -41,8 +41,8 @@
 
 // Crash is a life that ended under a content.
 type Crash struct {
-	Life    fleet.Instance
-	Cleared bool
+	Instance fleet.Instance
+	Cleared  bool
 }
 
 // NextReports returns what there is to tell now.
@@ -125,7 +125,7 @@
 		out.Case = Case{Content: r.Content}
 	}
 	for _, e := range r.ends {
-		out.Crashes = append(out.Crashes, Crash{Life: e.life, Cleared: e.discharged})
+		out.Crashes = append(out.Crashes, Crash{Instance: e.life, Cleared: e.discharged})
 	}
 	return out
 }
@@ -172,7 +172,7 @@
 func (t *Table) heard(report Report, from Origin, now time.Time) {
 	for _, e := range report.Crashes {
 		if e.Cleared {
-			t.discharge(report.Case, e.Life, now)
+			t.discharge(report.Case, e.Instance, now)
 		}
 	}
 	take := t.count
@@ -183,7 +183,7 @@
 	}
 	for _, e := range report.Crashes {
 		if !e.Cleared {
-			take(report.Case, e.Life, from, now)
+			take(report.Case, e.Instance, from, now)
 		}
 	}
 	r := t.records[report.Content]
--- a/poison/verdict.go
+++ b/poison/verdict.go
@@ -88,7 +88,7 @@
 	}
 	report := Report{Case: v.Case, Remaining: v.Until.Sub(now)}
 	for _, life := range v.Crashed {
-		report.Crashes = append(report.Crashes, Crash{Life: life})
+		report.Crashes = append(report.Crashes, Crash{Instance: life})
 	}
 	t.heard(report, OriginStore, now)
 	if r := t.records[v.Content]; r != nil {
