--- a/forecast/engine.go
+++ b/forecast/estimator.go
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// memory is after what time of observing an observation counts for a third: an
+// decayTime is after what time of observing an observation counts for a third: an
 // engine that is replaced by another is known within two or three times that,
 // and the few long prompts of a fleet still add up.
-const memory = 4 * time.Second
+const decayTime = 4 * time.Second
 
 // PrefillSample is one request's way to its first token.
 type PrefillSample struct {
@@ -55,69 +55,69 @@
 	StoreTransfer  float64
 }
 
-// guess is taken until something was observed: the order of the engines of
+// defaultCoefficients is taken until something was observed: the order of the engines of
 // today. Nobody is refused by it (Engine.Known).
-var guess = Coefficients{Base: 0.05, PerKiloToken: 0.016, RunnerTransfer: 0.001, StoreTransfer: 0.004}
+var defaultCoefficients = Coefficients{Base: 0.05, PerKiloToken: 0.016, RunnerTransfer: 0.001, StoreTransfer: 0.004}
 
 // Bounds of a fit.
 const (
-	// leastToken is the least time for a thousand tokens: no engine reads two
+	// minPerKiloToken is the least time for a thousand tokens: no engine reads two
 	// million a second.
-	leastToken = 0.0005
-	// fixedWeight, tokenWeight, pairsWeight and movedWeight say how firmly the
+	minPerKiloToken = 0.0005
+	// basePriorWeight, tokenWeight, pairsWeight and movedWeight say how firmly the
 	// figures of before stand against what is observed, in the units of the sums:
 	// like a few short prompts, and like one of 15,000 tokens that takes half a
 	// second. Ten prompts of 300 tokens, whose times differ by 20 ms for other
 	// reasons, say nothing of how long one of 40,000 takes.
-	fixedWeight = 100
-	tokenWeight = 1000
-	pairsWeight = 50000
-	movedWeight = 1000
-	// leastMoved is the least time to move a thousand tokens.
-	leastMoved = 0.00002
+	basePriorWeight     = 100
+	tokenPriorWeight    = 1000
+	pairsPriorWeight    = 50000
+	transferPriorWeight = 1000
+	// minTransfer is the least time to move a thousand tokens.
+	minTransfer = 0.00002
 )
 
 // Estimator is what is known of one service's engines; New returns one.
 type Estimator struct {
-	own    Sums
-	others map[string]heard
-	fitted [terms]float64
+	local  Sums
+	peers  map[string]peerReport
+	fitted [coefficientCount]float64
 	stale  bool
-	seen   time.Time
-	// runs is the time that runs held their slots after their first token, by the
+	agedAt time.Time
+	// slotHold is the time that slotHold held their slots after their first token, by the
 	// tokens that they were allowed to generate.
-	runs TimePerToken
-	// held is the time that runs held their memory, each token of it counted.
-	held TimePerToken
-	// mix is the reading that this process brings, as of mixed, and begun when it
+	slotHold TimePerToken
+	// memoryHold is the time that runs memoryHold their memory, each token of it counted.
+	memoryHold TimePerToken
+	// offered is the reading that this process brings, as of mixed, and begun when it
 	// brought some first.
-	mix   OfferedLoad
-	mixed time.Time
-	begun time.Time
+	offered      OfferedLoad
+	offeredAt    time.Time
+	firstArrival time.Time
 	// WeightLoads is what is known of loads of weights.
 	WeightLoads WeightLoads
 }
 
-// heard is the sums of another process, or of a group of them.
-type heard struct {
-	sums  Sums
-	runs  TimePerToken
-	mix   OfferedLoad
-	at    time.Time
-	group bool
+// peerReport is the sums of another process, or of a group of them.
+type peerReport struct {
+	sums        Sums
+	slotHold    TimePerToken
+	offeredLoad OfferedLoad
+	receivedAt  time.Time
+	fromGroup   bool
 }
 
 // New returns an engine of which nothing is known.
 func New() *Estimator {
-	return &Estimator{others: map[string]heard{}, fitted: guess.vector()}
+	return &Estimator{peers: map[string]peerReport{}, fitted: defaultCoefficients.vector()}
 }
 
-func (f Coefficients) vector() [terms]float64 {
-	return [terms]float64{f.Base, f.PerKiloToken, f.PerMegaPair, f.RunnerTransfer, f.StoreTransfer}
+func (f Coefficients) vector() [coefficientCount]float64 {
+	return [coefficientCount]float64{f.Base, f.PerKiloToken, f.PerMegaPair, f.RunnerTransfer, f.StoreTransfer}
 }
 
-func (r PrefillSample) features() [terms]float64 {
-	return [terms]float64{1, float64(r.UncachedTokens+r.QueuedTokens) / 1e3, pairs(r.UncachedTokens, r.PromptTokens), float64(r.Transferred.FromRunner) / 1e3, float64(r.Transferred.FromStore) / 1e3}
+func (r PrefillSample) features() [coefficientCount]float64 {
+	return [coefficientCount]float64{1, float64(r.UncachedTokens+r.QueuedTokens) / 1e3, pairs(r.UncachedTokens, r.PromptTokens), float64(r.Transferred.FromRunner) / 1e3, float64(r.Transferred.FromStore) / 1e3}
 }
 
 // pairs returns how many millions of pairs of tokens reading the last missing
@@ -128,41 +128,41 @@
 
 // Figures of which observations count how much.
 const (
-	// waitedMost is how many times its own tokens may have waited before a
+	// maxQueuedRatio is how many times its own tokens may have waited before a
 	// request that says something of reading: beyond, its time is a matter of
 	// what others know better.
-	waitedMost = 1.0
-	// farOff is from how many times the expectation on, up or down, a request
+	maxQueuedRatio = 1.0
+	// outlierFactor is from how many times the expectation on, up or down, a request
 	// counts less, with the square: it met a runner that stood still, or one that
 	// had its prompt already.
-	farOff = 2.0
-	// shortest is added to the expectation where errors are weighed by it: what
+	outlierFactor = 2.0
+	// noiseFloor is added to the expectation where errors are weighed by it: what
 	// links, timers and single steps of a batch add.
-	shortest = 0.03
+	noiseFloor = 0.03
 )
 
 // ObservePrefill takes one request's way to its first token.
 func (e *Estimator) ObservePrefill(r PrefillSample, now time.Time) {
-	if r.TimeToFirstToken <= 0 || float64(r.QueuedTokens) > waitedMost*float64(r.UncachedTokens+r.Transferred.FromRunner+r.Transferred.FromStore) {
+	if r.TimeToFirstToken <= 0 || float64(r.QueuedTokens) > maxQueuedRatio*float64(r.UncachedTokens+r.Transferred.FromRunner+r.Transferred.FromStore) {
 		return
 	}
 	features := r.features()
 	expected := dot(e.current(now), features)
 	observed := r.TimeToFirstToken.Seconds()
-	weight := 1 / ((expected + shortest) * (expected + shortest))
-	off := observed / max(expected, shortest)
-	if off > farOff {
-		weight *= (farOff / off) * (farOff / off)
+	weight := 1 / ((expected + noiseFloor) * (expected + noiseFloor))
+	ratio := observed / max(expected, noiseFloor)
+	if ratio > outlierFactor {
+		weight *= (outlierFactor / ratio) * (outlierFactor / ratio)
 	}
-	if off < 1/farOff {
-		weight *= (farOff * off) * (farOff * off)
+	if ratio < 1/outlierFactor {
+		weight *= (outlierFactor * ratio) * (outlierFactor * ratio)
 	}
-	e.age(now)
-	e.own.add(features, observed, weight)
+	e.decayLocal(now)
+	e.local.add(features, observed, weight)
 	e.stale = true
 }
 
-func dot(a, b [terms]float64) float64 {
+func dot(a, b [coefficientCount]float64) float64 {
 	sum := 0.0
 	for i := range a {
 		sum += a[i] * b[i]
@@ -170,34 +170,34 @@
 	return sum
 }
 
-// age makes what was observed before count less.
-func (e *Estimator) age(now time.Time) {
-	share := fadeShare(now.Sub(e.seen))
-	if e.seen.IsZero() {
-		share = 1
+// decayLocal makes what was observed before count less.
+func (e *Estimator) decayLocal(now time.Time) {
+	factor := observationDecay(now.Sub(e.agedAt))
+	if e.agedAt.IsZero() {
+		factor = 1
 	}
-	e.own.fade(share)
-	e.held.fade(share)
-	e.runs.fade(share)
-	e.seen = now
+	e.local.scale(factor)
+	e.memoryHold.scale(factor)
+	e.slotHold.scale(factor)
+	e.agedAt = now
 }
 
 // current returns the figures fitted to all that was observed and heard.
-func (e *Estimator) current(now time.Time) [terms]float64 {
+func (e *Estimator) current(now time.Time) [coefficientCount]float64 {
 	if !e.stale {
 		return e.fitted
 	}
 	e.stale = false
-	all := e.own
-	for sender, h := range e.others {
-		if now.Sub(h.at) > heardValid {
-			delete(e.others, sender)
+	all := e.local
+	for sender, h := range e.peers {
+		if now.Sub(h.receivedAt) > reportTTL {
+			delete(e.peers, sender)
 			continue
 		}
 		all.Merge(h.sums)
 	}
-	weight := [terms]float64{fixedWeight, tokenWeight, pairsWeight, movedWeight, movedWeight}
-	floor := [terms]float64{0, leastToken, 0, leastMoved, leastMoved}
+	weight := [coefficientCount]float64{basePriorWeight, tokenPriorWeight, pairsPriorWeight, transferPriorWeight, transferPriorWeight}
+	floor := [coefficientCount]float64{0, minPerKiloToken, 0, minTransfer, minTransfer}
 	e.fitted = all.fit(e.fitted, e.fitted, floor, weight)
 	return e.fitted
 }
@@ -208,17 +208,17 @@
 	return Coefficients{Base: f[0], PerKiloToken: f[1], PerMegaPair: f[2], RunnerTransfer: f[3], StoreTransfer: f[4]}
 }
 
-// knownFrom is from how many observations on somebody may be refused by what
+// minSamples is from how many observations on somebody may be refused by what
 // they say.
-const knownFrom = 20
+const minSamples = 20
 
 // HasEnoughSamples reports whether enough was observed for a request to be refused by it.
 func (e *Estimator) HasEnoughSamples() bool {
-	weight := e.own.Weight
-	for _, h := range e.others {
+	weight := e.local.Weight
+	for _, h := range e.peers {
 		weight += h.sums.Weight
 	}
-	return weight >= knownFrom
+	return weight >= minSamples
 }
 
 // BaseLatency returns the time to the first token of a prompt that needs no reading.
@@ -250,13 +250,13 @@
 
 // ObserveRun takes how long a run that was allowed to generate tokens held its slot
 // after its first token.
-func (e *Estimator) ObserveRun(allowed int, held time.Duration, now time.Time) {
-	if allowed <= 0 || held < 0 {
+func (e *Estimator) ObserveRun(maxTokens int, held time.Duration, now time.Time) {
+	if maxTokens <= 0 || held < 0 {
 		return
 	}
-	e.age(now)
-	e.runs.Seconds += held.Seconds()
-	e.runs.Tokens += float64(allowed)
+	e.decayLocal(now)
+	e.slotHold.Seconds += held.Seconds()
+	e.slotHold.Tokens += float64(maxTokens)
 }
 
 // ObserveMemoryHold takes for how long a run held so many tokens of its target's memory.
@@ -264,20 +264,20 @@
 	if tokens <= 0 || held < 0 {
 		return
 	}
-	e.age(now)
-	e.held.Seconds += held.Seconds() * float64(tokens)
-	e.held.Tokens += float64(tokens)
+	e.decayLocal(now)
+	e.memoryHold.Seconds += held.Seconds() * float64(tokens)
+	e.memoryHold.Tokens += float64(tokens)
 }
 
-// guessHeld is how long memory is taken to be held before a run was seen.
-const guessHeld = 500 * time.Millisecond
+// defaultMemoryHold is how long memory is taken to be held before a run was seen.
+const defaultMemoryHold = 500 * time.Millisecond
 
 // MeanMemoryHold returns for how long a token of memory is held by a run in the mean.
 func (e *Estimator) MeanMemoryHold() time.Duration {
-	if e.held.Tokens <= 0 {
-		return guessHeld
+	if e.memoryHold.Tokens <= 0 {
+		return defaultMemoryHold
 	}
-	return seconds(e.held.Seconds / e.held.Tokens)
+	return seconds(e.memoryHold.Seconds / e.memoryHold.Tokens)
 }
 
 // TimePerToken is a time by the tokens that it was for.
@@ -291,20 +291,20 @@
 	r.Tokens += other.Tokens
 }
 
-func (r *TimePerToken) fade(share float64) {
-	r.Seconds *= share
-	r.Tokens *= share
+func (r *TimePerToken) scale(factor float64) {
+	r.Seconds *= factor
+	r.Tokens *= factor
 }
 
 // ExpectedSlotHold returns the time for which a run that may generate tokens is expected to
 // hold its slot after its first token; ok is false where no run was seen yet.
-func (e *Estimator) ExpectedSlotHold(allowed int) (held time.Duration, ok bool) {
-	all := e.runs
-	for _, h := range e.others {
-		all.add(h.runs)
+func (e *Estimator) ExpectedSlotHold(maxTokens int) (held time.Duration, ok bool) {
+	all := e.slotHold
+	for _, h := range e.peers {
+		all.add(h.slotHold)
 	}
 	if all.Tokens <= 0 {
 		return 0, false
 	}
-	return seconds(all.Seconds / all.Tokens * float64(allowed)), true
+	return seconds(all.Seconds / all.Tokens * float64(maxTokens)), true
 }
--- a/forecast/engine_test.go
+++ b/forecast/estimator_test.go
@@ -10,36 +10,36 @@
 
 var start = time.Unix(1000, 0)
 
-// truth is an engine of a test.
-type truth struct {
+// trueEngine is an engine of a test.
+type trueEngine struct {
 	fixed, token, pairs float64
 }
 
-func (m truth) took(r PrefillSample) time.Duration {
+func (m trueEngine) timeToFirstToken(r PrefillSample) time.Duration {
 	f := r.features()
 	return seconds(m.fixed + m.token*f[1] + m.pairs*f[2])
 }
 
 // observe lets an engine meet n prompts a few milliseconds apart, of 100 to
 // 40,000 tokens, with noise of a tenth.
-func observe(e *Estimator, m truth, n int, from time.Time, random *rand.Rand) time.Time {
+func observe(e *Estimator, m trueEngine, n int, from time.Time, random *rand.Rand) time.Time {
 	for range n {
 		r := PrefillSample{UncachedTokens: 100 + random.IntN(300)}
 		if random.IntN(3) == 0 {
 			r.UncachedTokens = 3000 + random.IntN(37000)
 		}
 		r.PromptTokens = r.UncachedTokens + random.IntN(15000)
-		r.TimeToFirstToken = time.Duration(float64(m.took(r)) * (0.9 + 0.2*random.Float64()))
+		r.TimeToFirstToken = time.Duration(float64(m.timeToFirstToken(r)) * (0.9 + 0.2*random.Float64()))
 		e.ObservePrefill(r, from)
 		from = from.Add(20 * time.Millisecond)
 	}
 	return from
 }
 
-func closeTo(t *testing.T, e *Estimator, m truth, at time.Time, within float64) {
+func checkEstimates(t *testing.T, e *Estimator, m trueEngine, at time.Time, within float64) {
 	t.Helper()
 	for _, r := range []PrefillSample{{UncachedTokens: 300, PromptTokens: 300}, {UncachedTokens: 4000, PromptTokens: 17000}, {UncachedTokens: 17000, PromptTokens: 17000}, {UncachedTokens: 40000, PromptTokens: 40000}} {
-		want := m.took(r).Seconds()
+		want := m.timeToFirstToken(r).Seconds()
 		got := (e.BaseLatency(at) + e.PrefillTime(r.UncachedTokens, r.PromptTokens, at)).Seconds()
 		if got < want*(1-within) || got > want*(1+within) {
 			t.Errorf("%+v: %.3f s expected, %.3f s is right", r, got, want)
@@ -51,7 +51,7 @@
 // of prompts tell how long the next one takes, of any size.
 func TestFiguresAreLearntInSeconds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := truth{
+		m := trueEngine{
 			fixed: rapid.Float64Range(0.002, 0.2).Draw(rt, "fixed s"),
 			token: rapid.Float64Range(0.004, 0.08).Draw(rt, "s a thousand tokens"),
 			pairs: rapid.Float64Range(0, 0.002).Draw(rt, "s a million pairs"),
@@ -59,7 +59,7 @@
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		e := New()
 		at := observe(e, m, 250, start, random)
-		closeTo(t, e, m, at, 0.2)
+		checkEstimates(t, e, m, at, 0.2)
 	})
 }
 
@@ -68,13 +68,13 @@
 func TestAChangeOfEnginesIsFollowed(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	e := New()
-	fast, slow := truth{0.05, 0.01, 0.0002}, truth{0.1, 0.022, 0.0005}
+	fast, slow := trueEngine{0.05, 0.01, 0.0002}, trueEngine{0.1, 0.022, 0.0005}
 	at := observe(e, fast, 1000, start, random)
-	closeTo(t, e, fast, at, 0.2)
+	checkEstimates(t, e, fast, at, 0.2)
 	at = observe(e, slow, 500, at, random)
-	closeTo(t, e, slow, at, 0.2)
+	checkEstimates(t, e, slow, at, 0.2)
 	at = observe(e, fast, 500, at, random)
-	closeTo(t, e, fast, at, 0.2)
+	checkEstimates(t, e, fast, at, 0.2)
 }
 
 // A burst keeps every prompt waiting behind ten times its own tokens, which a
@@ -84,15 +84,15 @@
 func TestWaitingIsNotTakenForReading(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 1))
 	e := New()
-	m := truth{0.09, 0.02, 0.0004}
+	m := trueEngine{0.09, 0.02, 0.0004}
 	at := observe(e, m, 300, start, random)
 	for range 500 {
 		r := PrefillSample{UncachedTokens: 4000, PromptTokens: 17000, QueuedTokens: 8000 + random.IntN(50000)}
-		r.TimeToFirstToken = 4 * m.took(r)
+		r.TimeToFirstToken = 4 * m.timeToFirstToken(r)
 		e.ObservePrefill(r, at)
 		at = at.Add(10 * time.Millisecond)
 	}
-	closeTo(t, e, m, at, 0.2)
+	checkEstimates(t, e, m, at, 0.2)
 }
 
 // A runner stands still for seconds, and some prompts were cached though nobody
@@ -100,7 +100,7 @@
 func TestFewThatAreFarOffChangeLittle(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 1))
 	e := New()
-	m := truth{0.09, 0.02, 0.0004}
+	m := trueEngine{0.09, 0.02, 0.0004}
 	at := start
 	for range 60 {
 		at = observe(e, m, 18, at, random)
@@ -109,14 +109,14 @@
 		e.ObservePrefill(stuck, at)
 		e.ObservePrefill(cached, at)
 	}
-	closeTo(t, e, m, at, 0.25)
+	checkEstimates(t, e, m, at, 0.25)
 }
 
 // An entry starts anew beside others: it knows what they know from their first
 // words on, and a word that comes again counts once.
 func TestAStartTakesTheOthersWord(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 1))
-	m := truth{0.09, 0.02, 0.0004}
+	m := trueEngine{0.09, 0.02, 0.0004}
 	old, fresh := New(), New()
 	at := observe(old, m, 300, start, random)
 	old.ObserveRun(480, time.Second, at)
@@ -131,7 +131,7 @@
 		}
 		fresh.ApplyReport("old/1", w, at)
 	}
-	closeTo(t, fresh, m, at, 0.2)
+	checkEstimates(t, fresh, m, at, 0.2)
 	if held, ok := fresh.ExpectedSlotHold(480); !ok || held < 900*time.Millisecond || held > 1100*time.Millisecond {
 		t.Errorf("a run is expected to take %v", held)
 	}
@@ -144,9 +144,9 @@
 // guess of the first minute.
 func TestIdleTimeForgetsNothing(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 1))
-	m := truth{0.09, 0.02, 0.0004}
+	m := trueEngine{0.09, 0.02, 0.0004}
 	e := New()
 	at := observe(e, m, 300, start, random).Add(time.Hour)
 	observe(e, m, 1, at, random)
-	closeTo(t, e, m, at, 0.2)
+	checkEstimates(t, e, m, at, 0.2)
 }
--- a/forecast/fit.go
+++ b/forecast/fit.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// terms is how many figures a line of sums is fitted for.
-const terms = 5
+// coefficientCount is how many figures a line of sums is fitted for.
+const coefficientCount = 5
 
 // Sums are the sums of a weighted least-squares fit of terms figures to
 // observations. They add up: the sums of several processes are those of all
@@ -14,17 +14,17 @@
 type Sums struct {
 	// Cross holds the products of each two features, row by row from the
 	// diagonal on; Right those of the features with what was observed.
-	Cross [terms * (terms + 1) / 2]float64
-	Right [terms]float64
+	Cross [coefficientCount * (coefficientCount + 1) / 2]float64
+	Right [coefficientCount]float64
 	// Weight is about how many observations count.
 	Weight float64
 }
 
 // add counts one observation in.
-func (s *Sums) add(features [terms]float64, observed, weight float64) {
+func (s *Sums) add(features [coefficientCount]float64, observed, weight float64) {
 	at := 0
-	for i := range terms {
-		for j := i; j < terms; j++ {
+	for i := range coefficientCount {
+		for j := i; j < coefficientCount; j++ {
 			s.Cross[at] += weight * features[i] * features[j]
 			at++
 		}
@@ -44,28 +44,28 @@
 	s.Weight += other.Weight
 }
 
-// fade makes all observations count for share of what they did.
-func (s *Sums) fade(share float64) {
+// scale makes all observations count for share of what they did.
+func (s *Sums) scale(factor float64) {
 	for i := range s.Cross {
-		s.Cross[i] *= share
+		s.Cross[i] *= factor
 	}
 	for i := range s.Right {
-		s.Right[i] *= share
+		s.Right[i] *= factor
 	}
-	s.Weight *= share
+	s.Weight *= factor
 }
 
-// fadeStep bounds the time by which one observation ages those before it: the
+// maxDecayStep bounds the time by which one observation ages those before it: the
 // figures of an engine that had nothing to do for an hour still hold.
-const fadeStep = time.Second
+const maxDecayStep = time.Second
 
-// fadeShare is what is left of an observation's weight after elapsed.
-func fadeShare(elapsed time.Duration) float64 {
-	return fadeBy(min(max(elapsed, 0), fadeStep), memory)
+// observationDecay is what is left of an observation's weight after elapsed.
+func observationDecay(elapsed time.Duration) float64 {
+	return decayFactor(min(max(elapsed, 0), maxDecayStep), decayTime)
 }
 
-// fadeBy is what is left after elapsed of what fades to a third in memory.
-func fadeBy(elapsed, memory time.Duration) float64 {
+// decayFactor is what is left after elapsed of what fades to a third in memory.
+func decayFactor(elapsed, memory time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / memory.Seconds())
 }
 
@@ -74,19 +74,19 @@
 	if i > j {
 		i, j = j, i
 	}
-	return s.Cross[i*terms-i*(i-1)/2+j-i]
+	return s.Cross[i*coefficientCount-i*(i-1)/2+j-i]
 }
 
-// fitRounds is how many rounds of improvement a fit takes: it begins at the
+// fitIterations is how many rounds of improvement a fit takes: it begins at the
 // figures fitted before, and with three of them ten rounds change the last by
 // under a hundredth.
-const fitRounds = 40
+const fitIterations = 40
 
 // fit returns the figures, none below its floor, that explain the sums best;
 // prior are those taken without observations, which count like a few of them.
-func (s *Sums) fit(start, prior, floor, priorWeight [terms]float64) [terms]float64 {
+func (s *Sums) fit(start, prior, floor, priorWeight [coefficientCount]float64) [coefficientCount]float64 {
 	out := start
-	for range fitRounds {
+	for range fitIterations {
 		for i := range out {
 			rest := s.Right[i] + priorWeight[i]*prior[i]
 			for j := range out {
--- a/health/health.go
+++ b/health/health.go
@@ -19,26 +19,26 @@
 
 // Constants of the opinion.
 const (
-	// deadAfter is how many failures in a row make a target dead.
-	deadAfter = 2
-	// firstPause and maxPause bound how long a dead target is left alone.
-	firstPause = 100 * time.Millisecond
-	maxPause   = 5 * time.Second
+	// deadThreshold is how many failures in a row make a target dead.
+	deadThreshold = 2
+	// minProbeInterval and maxPause bound how long a dead target is left alone.
+	minProbeInterval = 100 * time.Millisecond
+	maxProbeInterval = 5 * time.Second
 	// maxPenalty is the cost of a target that has just failed; it halves
 	// every penaltyHalfLife, so that the target gets its work back by degrees.
 	maxPenalty      = 500 * time.Millisecond
 	penaltyHalfLife = time.Second
-	// forgotten is the penalty below which a target counts as live.
-	forgotten = 5 * time.Millisecond
+	// minPenalty is the penalty below which a target counts as live.
+	minPenalty = 5 * time.Millisecond
 )
 
 // Tracker is the opinion of one target.
 type Tracker struct {
-	failures  int
-	pause     time.Duration
-	retryAt   time.Time
-	penalty   time.Duration
-	penaltyAt time.Time
+	failures      int
+	probeInterval time.Duration
+	nextProbeAt   time.Time
+	penalty       time.Duration
+	penaltyAt     time.Time
 }
 
 // RecordFailure counts one failure to reach the target or of the target itself.
@@ -46,30 +46,30 @@
 	t.failures++
 	t.penalty = maxPenalty
 	t.penaltyAt = now
-	if t.failures < deadAfter {
+	if t.failures < deadThreshold {
 		return
 	}
-	t.pause = min(max(2*t.pause, firstPause), maxPause)
-	t.retryAt = now.Add(t.pause)
+	t.probeInterval = min(max(2*t.probeInterval, minProbeInterval), maxProbeInterval)
+	t.nextProbeAt = now.Add(t.probeInterval)
 }
 
 // RecordConnectFailure counts a failure to connect: a target that answers nothing needs
 // no second sign.
 func (t *Tracker) RecordConnectFailure(now time.Time) {
-	t.failures = max(t.failures, deadAfter-1)
+	t.failures = max(t.failures, deadThreshold-1)
 	t.RecordFailure(now)
 }
 
 // RecordSuccess counts one good answer.
 func (t *Tracker) RecordSuccess() {
 	t.failures = 0
-	t.pause = 0
+	t.probeInterval = 0
 }
 
 // State returns the opinion now.
 func (t *Tracker) State(now time.Time) State {
 	switch {
-	case t.failures >= deadAfter:
+	case t.failures >= deadThreshold:
 		return Dead
 	case t.Penalty(now) > 0:
 		return Suspect
@@ -81,13 +81,13 @@
 // pause is over, and the asking starts the next pause, so that one probe goes
 // at a time.
 func (t *Tracker) AllowRequest(now time.Time) bool {
-	if t.failures < deadAfter {
+	if t.failures < deadThreshold {
 		return true
 	}
-	if now.Before(t.retryAt) {
+	if now.Before(t.nextProbeAt) {
 		return false
 	}
-	t.retryAt = now.Add(t.pause)
+	t.nextProbeAt = now.Add(t.probeInterval)
 	return true
 }
 
@@ -96,7 +96,7 @@
 	p := t.penalty
 	for since := now.Sub(t.penaltyAt); p > 0 && since >= penaltyHalfLife; since -= penaltyHalfLife {
 		p /= 2
-		if p < forgotten {
+		if p < minPenalty {
 			return 0
 		}
 	}
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -22,7 +22,7 @@
 	if target.State(start) != Dead || target.AllowRequest(start) {
 		t.Error("after two failures a target is left alone")
 	}
-	later := start.Add(firstPause)
+	later := start.Add(minProbeInterval)
 	if !target.AllowRequest(later) || target.AllowRequest(later) {
 		t.Error("one probe at a time")
 	}
--- a/poison/judge.go
+++ b/poison/evaluate.go
@@ -42,17 +42,17 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[content]
-	if r == nil || r.counted() == 0 {
+	if r == nil || r.countedCrashes() == 0 {
 		return Decision{Status: Free}
 	}
-	j := Decision{Status: Suspect, Crashes: r.counted()}
+	j := Decision{Status: Suspect, Crashes: r.countedCrashes()}
 	switch {
 	case r.convicted(now):
 		j.Status, j.Remaining = Refused, r.until.Sub(now)
-	case t.underWay(content, now):
+	case t.isRunning(content, now):
 		j.Status = Waiting
 	default:
-		j.Avoid = t.apart(now)
+		j.Avoid = t.suspectTargets(now)
 	}
 	return j
 }
@@ -70,24 +70,24 @@
 	return n
 }
 
-// underWay reports whether a request with a content is at a target; the caller holds mu.
-func (t *Table) underWay(content Fingerprint, now time.Time) bool {
-	if slices.ContainsFunc(t.running[content], func(s *ActiveRequest) bool { return s.at != nil }) {
+// isRunning reports whether a request with a content is at a target; the caller holds mu.
+func (t *Table) isRunning(content Fingerprint, now time.Time) bool {
+	if slices.ContainsFunc(t.running[content], func(s *ActiveRequest) bool { return s.target != nil }) {
 		return true
 	}
-	w, ok := t.elsewhere[content]
-	return ok && w.holds(now)
+	w, ok := t.remoteSuspects[content]
+	return ok && w.valid(now)
 }
 
-// apart returns the targets at which suspects are; the caller holds mu.
-func (t *Table) apart(now time.Time) []fleet.Life {
+// suspectTargets returns the targets at which suspects are; the caller holds mu.
+func (t *Table) suspectTargets(now time.Time) []fleet.Life {
 	var out []fleet.Life
-	for _, w := range t.elsewhere {
-		if w.holds(now) {
-			out = append(out, w.at)
+	for _, r := range t.remoteSuspects {
+		if r.valid(now) {
+			out = append(out, r.target)
 		}
 	}
-	for _, life := range t.tried {
+	for _, life := range t.localSuspects {
 		out = append(out, life)
 	}
 	return out
@@ -97,7 +97,7 @@
 type ActiveRequest struct {
 	table   *Table
 	content Fingerprint
-	at      *fleet.Life
+	target  *fleet.Life
 }
 
 // Track counts a request in.
@@ -111,29 +111,29 @@
 
 // SentTo notes the target to which the request is sent.
 func (s *ActiveRequest) SentTo(life fleet.Life) {
-	s.move(&life)
+	s.setTarget(&life)
 }
 
-// move notes where the request is, and has it told of a suspect.
-func (s *ActiveRequest) move(to *fleet.Life) {
+// setTarget notes where the request is, and has it told of a suspect.
+func (s *ActiveRequest) setTarget(target *fleet.Life) {
 	s.table.mu.Lock()
 	defer s.table.mu.Unlock()
-	s.at = to
-	delete(s.table.tried, s)
+	s.target = target
+	delete(s.table.localSuspects, s)
 	r := s.table.records[s.content]
-	if r == nil || r.counted() == 0 {
+	if r == nil || r.countedCrashes() == 0 {
 		return
 	}
-	r.untold = max(r.untold, 1)
-	if to != nil {
-		s.table.tried[s] = *to
+	r.pendingSends = max(r.pendingSends, 1)
+	if target != nil {
+		s.table.localSuspects[s] = *target
 	}
 }
 
 // LeftTarget notes that the request is at no target. Where it is a suspect's, the others hear
 // it with the next pulse: a repeat waits no longer than the request is tried.
 func (s *ActiveRequest) LeftTarget() {
-	s.move(nil)
+	s.setTarget(nil)
 }
 
 // Finish counts the request out.
@@ -141,7 +141,7 @@
 	t := s.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.tried, s)
+	delete(t.localSuspects, s)
 	left := slices.DeleteFunc(t.running[s.content], func(other *ActiveRequest) bool { return other == s })
 	if len(left) == 0 {
 		delete(t.running, s.content)
--- a/poison/news.go
+++ b/poison/reports.go
@@ -10,22 +10,22 @@
 
 // Figures of what processes tell each other.
 const (
-	// toldTimes is in how many pulses an end is told: a datagram may be lost, and a
+	// crashRepeats is in how many pulses an end is told: a datagram may be lost, and a
 	// second loss in a row costs one more target at most.
-	toldTimes = 2
-	// newsRate is how much is told on the average, in bytes a second to each process
+	crashRepeats = 2
+	// reportRate is how much is told on the average, in bytes a second to each process
 	// that listens, and newsBurst at once. Where a dozen targets end together, hundreds
 	// of requests are suspect; told in full and with each pulse, they fill the links of
 	// small machines, and requests wait seconds on those. Those that ended the most targets go first, the newest of them.
-	newsRate  = 6 << 10
-	newsBurst = 4 << 10
-	// retellMost is how old a first end may be that a process which starts is told of.
-	retellMost = 10 * time.Second
-	// heldBytes is about how much a process is told that is not among the members yet.
-	heldBytes = 1 << 10
+	reportRate  = 6 << 10
+	reportBurst = 4 << 10
+	// maxResendAge is how old a first end may be that a process which starts is told of.
+	maxResendAge = 10 * time.Second
+	// bootstrapBytes is about how much a process is told that is not among the members yet.
+	bootstrapBytes = 1 << 10
 	// reportBytes is about what a report takes, and endBytes what each end adds.
 	reportBytes = 30
-	endBytes    = 28
+	crashBytes  = 28
 )
 
 // Report is what one process tells of a content. Reports can be heard in any order and
@@ -49,41 +49,41 @@
 func (t *Table) NextReports(now time.Time) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	room := min(newsBurst, t.room+int(newsRate*now.Sub(t.toldAt).Seconds()))
-	if t.toldAt.IsZero() {
-		room = newsBurst
+	budget := min(reportBurst, t.sendBudget+int(reportRate*now.Sub(t.sendBudgetAt).Seconds()))
+	if t.sendBudgetAt.IsZero() {
+		budget = reportBurst
 	}
-	t.toldAt = now
-	out, left := t.tell(room, now, func(r *record) bool { return r.untold > 0 })
-	for _, told := range out {
-		t.records[told.Content].untold--
+	t.sendBudgetAt = now
+	out, left := t.selectReports(budget, now, func(r *record) bool { return r.pendingSends > 0 })
+	for _, report := range out {
+		t.records[report.Content].pendingSends--
 	}
-	t.room = left
+	t.sendBudget = left
 	return out
 }
 
-// tell returns reports of those records that are wanted, as many as there is room for,
+// selectReports returns reports of those records that are wanted, as many as there is room for,
 // and the room that is left; the caller holds mu.
-func (t *Table) tell(room int, now time.Time, wanted func(*record) bool) ([]Report, int) {
+func (t *Table) selectReports(budget int, now time.Time, include func(*record) bool) ([]Report, int) {
 	var all []*record
 	for _, r := range t.records {
-		if wanted(r) {
+		if include(r) {
 			all = append(all, r)
 		}
 	}
 	slices.SortFunc(all, func(a, b *record) int {
-		return cmp.Or(cmp.Compare(b.counted(), a.counted()), b.at.Compare(a.at), slices.Compare(a.Content[:], b.Content[:]))
+		return cmp.Or(cmp.Compare(b.countedCrashes(), a.countedCrashes()), b.updatedAt.Compare(a.updatedAt), slices.Compare(a.Content[:], b.Content[:]))
 	})
 	var out []Report
 	for _, r := range all {
-		if room <= 0 {
+		if budget <= 0 {
 			break
 		}
-		report := r.report(t.ownTarget(r.Content), now)
-		room -= report.bytes()
+		report := r.report(t.localTarget(r.Content), now)
+		budget -= report.bytes()
 		out = append(out, report)
 	}
-	return out, room
+	return out, budget
 }
 
 // BootstrapReports returns what matters most of what is held, for a process that the others do not
@@ -91,7 +91,7 @@
 func (t *Table) BootstrapReports(now time.Time) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out, _ := t.tell(heldBytes, now, func(r *record) bool { return r.matters(now) })
+	out, _ := t.selectReports(bootstrapBytes, now, func(r *record) bool { return r.worthResending(now) })
 	return out
 }
 
@@ -102,17 +102,17 @@
 	return t.version
 }
 
-// matters reports whether a process that starts should know of a content.
-func (r *record) matters(now time.Time) bool {
-	n := r.counted()
-	return n > 1 || n == 1 && now.Sub(r.at) < retellMost
+// worthResending reports whether a process that starts should know of a content.
+func (r *record) worthResending(now time.Time) bool {
+	n := r.countedCrashes()
+	return n > 1 || n == 1 && now.Sub(r.updatedAt) < maxResendAge
 }
 
 // bytes is about how much a report takes.
 func (r Report) bytes() int {
-	n := reportBytes + endBytes*len(r.Crashes) + len(r.Service) + len(r.Customer) + len(r.Request)
+	n := reportBytes + crashBytes*len(r.Crashes) + len(r.Service) + len(r.Customer) + len(r.Request)
 	if r.RunningOn != nil {
-		n += endBytes
+		n += crashBytes
 	}
 	return n
 }
@@ -121,21 +121,21 @@
 // than one target has ended.
 func (r *record) report(at *fleet.Life, now time.Time) Report {
 	out := Report{Case: r.Case, RunningOn: at, Remaining: max(0, r.until.Sub(now))}
-	if len(r.ends) < 2 {
+	if len(r.crashes) < 2 {
 		out.Case = Case{Content: r.Content}
 	}
-	for _, e := range r.ends {
-		out.Crashes = append(out.Crashes, Crash{Life: e.life, Cleared: e.discharged})
+	for _, e := range r.crashes {
+		out.Crashes = append(out.Crashes, Crash{Life: e.life, Cleared: e.cleared})
 	}
 	return out
 }
 
-// ownTarget returns a target at which this process has a request with a content, or
+// localTarget returns a target at which this process has a request with a content, or
 // nil; the caller holds mu.
-func (t *Table) ownTarget(content Fingerprint) *fleet.Life {
+func (t *Table) localTarget(content Fingerprint) *fleet.Life {
 	for _, s := range t.running[content] {
-		if s.at != nil {
-			return s.at
+		if s.target != nil {
+			return s.target
 		}
 	}
 	return nil
@@ -147,8 +147,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.records {
-		if r.matters(now) {
-			r.untold = max(r.untold, 1)
+		if r.worthResending(now) {
+			r.pendingSends = max(r.pendingSends, 1)
 		}
 	}
 }
@@ -156,48 +156,48 @@
 // ApplyReports takes what other processes told.
 func (t *Table) ApplyReports(all []Report, now time.Time) {
 	t.mu.Lock()
-	defer t.unlock()
+	defer t.unlockAndNotify()
 	for _, report := range all {
-		t.heard(report, OriginPeer, now)
+		t.applyReport(report, OriginPeer, now)
 		if report.RunningOn != nil {
-			t.elsewhere[report.Content] = underWay{at: *report.RunningOn, heard: now}
+			t.remoteSuspects[report.Content] = remoteRun{target: *report.RunningOn, reportedAt: now}
 		} else {
-			delete(t.elsewhere, report.Content)
+			delete(t.remoteSuspects, report.Content)
 		}
 	}
 }
 
-// heard merges a report into what is held; the caller holds mu. A verdict that others
+// applyReport merges a report into what is held; the caller holds mu. A verdict that others
 // reached holds here as long as there, and no longer than the ends that it rests on.
-func (t *Table) heard(report Report, from Origin, now time.Time) {
+func (t *Table) applyReport(report Report, origin Origin, now time.Time) {
 	for _, e := range report.Crashes {
 		if e.Cleared {
-			t.discharge(report.Case, e.Life, now)
+			t.clearCrash(report.Case, e.Life, now)
 		}
 	}
-	take := t.count
-	if report.lapsed() {
+	addCrash := t.recordCrash
+	if report.verdictLapsed() {
 		// It is on trial there. Taken for ends that have just been seen, they would begin
 		// a verdict anew at whoever starts, with no end since the last one.
-		take = func(c Case, life fleet.Life, from Origin, now time.Time) { t.hold(c, life, from, now) }
+		addCrash = func(c Case, life fleet.Life, from Origin, now time.Time) { t.addCrash(c, life, from, now) }
 	}
 	for _, e := range report.Crashes {
 		if !e.Cleared {
-			take(report.Case, e.Life, from, now)
+			addCrash(report.Case, e.Life, origin, now)
 		}
 	}
 	r := t.records[report.Content]
-	if r == nil || r.counted() < CrashThreshold || report.Remaining <= 0 {
+	if r == nil || r.countedCrashes() < CrashThreshold || report.Remaining <= 0 {
 		return
 	}
-	if until := now.Add(min(report.Remaining, mostTerm)); until.After(r.until) {
-		r.until, r.expired = until, false
-		r.term = max(r.term, min(report.Remaining, mostTerm))
+	if until := now.Add(min(report.Remaining, maxVerdictDuration)); until.After(r.until) {
+		r.until, r.expiryReported = until, false
+		r.duration = max(r.duration, min(report.Remaining, maxVerdictDuration))
 	}
 }
 
-// lapsed reports whether the ends are enough for a verdict that holds no more.
-func (r Report) lapsed() bool {
+// verdictLapsed reports whether the ends are enough for a verdict that holds no more.
+func (r Report) verdictLapsed() bool {
 	n := 0
 	for _, e := range r.Crashes {
 		if !e.Cleared {
@@ -207,15 +207,15 @@
 	return n >= CrashThreshold && r.Remaining <= 0
 }
 
-// discharge takes that an end counts no more; the caller holds mu. It is kept also
-// where the end is not known: its news may come later than that of its discharge.
-func (t *Table) discharge(c Case, life fleet.Life, now time.Time) {
+// clearCrash takes that an end counts no more; the caller holds mu. It is kept also
+// where the end is not known: its news may come later than that of its clearCrash.
+func (t *Table) clearCrash(c Case, life fleet.Life, now time.Time) {
 	r := t.record(c, now)
-	for i, e := range r.ends {
+	for i, e := range r.crashes {
 		if e.life.Same(life) {
-			r.ends[i].discharged = true
+			r.crashes[i].cleared = true
 			return
 		}
 	}
-	r.add(end{life: life, discharged: true, known: now})
+	r.appendCrash(crash{life: life, cleared: true, learnedAt: now})
 }
--- a/poison/table_test.go
+++ b/poison/table_test.go
@@ -68,7 +68,7 @@
 	if n := table.RefusedCount(start.Add(2 * time.Second)); n != 1 {
 		t.Errorf("%d contents count as refused", n)
 	}
-	if j := table.Evaluate(guilty.Content, start.Add(3*time.Second)); j.Crashes != CrashThreshold || j.Remaining != firstTerm-time.Second {
+	if j := table.Evaluate(guilty.Content, start.Add(3*time.Second)); j.Crashes != CrashThreshold || j.Remaining != initialVerdictDuration-time.Second {
 		t.Errorf("judged %+v", j)
 	}
 }
@@ -126,7 +126,7 @@
 	want(t, other, c, start, Waiting)
 	other.ApplyReports(table.NextReports(start), start)
 	want(t, other, c, start, Suspect)
-	if len(table.running) != 0 || len(table.tried) != 0 {
+	if len(table.running) != 0 || len(table.localSuspects) != 0 {
 		t.Errorf("%d contents count as running", len(table.running))
 	}
 }
@@ -152,8 +152,8 @@
 	if !table.AwaitsEvidence(life(1)) {
 		t.Error("a broken answer waits for no evidence")
 	}
-	table.RecordCrash(life(1), start.Add(evidenceFor+time.Second))
-	want(t, table, late, start.Add(evidenceFor+time.Second), Free)
+	table.RecordCrash(life(1), start.Add(evidenceTimeout+time.Second))
+	want(t, table, late, start.Add(evidenceTimeout+time.Second), Free)
 }
 
 // While the store is away nobody says that a target has started again under its id. Its
@@ -182,7 +182,7 @@
 	named1.Born, named2.Born = 500, 500
 	table.RecordBrokenResponse(c, named1, sent.Add(time.Second), sent.Add(1100*time.Millisecond))
 	table.RecordCrash(named2, sent.Add(1110*time.Millisecond))
-	if got := table.records[c.Content].ends[4].life; got != named1 {
+	if got := table.records[c.Content].crashes[4].life; got != named1 {
 		t.Errorf("the named life counts as %v", got)
 	}
 	// What breaks off in the next life waits for evidence of its own.
@@ -200,11 +200,11 @@
 	for i := range 3 {
 		ends(table, life(i), start, c)
 	}
-	later := start.Add(firstTerm + time.Second)
+	later := start.Add(initialVerdictDuration + time.Second)
 	table.Sweep(later)
 	want(t, table, c, later, Suspect)
 	ends(table, life(3), later, c)
-	if j := table.Evaluate(c.Content, later); j.Status != Refused || j.Remaining != 2*firstTerm {
+	if j := table.Evaluate(c.Content, later); j.Status != Refused || j.Remaining != 2*initialVerdictDuration {
 		t.Errorf("judged %+v", j)
 	}
 	table.RecordSuccess(c.Content, later)
@@ -216,7 +216,7 @@
 	if counts[Convicted] != 2 || counts[Expired] != 1 || counts[Cleared] != 1 || counts[Suspected] != 4 {
 		t.Errorf("told %v", counts)
 	}
-	table.Sweep(later.Add(suspectFor + time.Second))
+	table.Sweep(later.Add(suspicionTTL + time.Second))
 	if len(table.records) != 0 {
 		t.Errorf("%d records are kept for ever", len(table.records))
 	}
@@ -230,8 +230,8 @@
 	for i := range 3 {
 		ends(table, life(i), start, c)
 	}
-	kept := table.PendingWrites(true, start.Add(othersAfter))[0]
-	later := start.Add(firstTerm + time.Second)
+	kept := table.PendingWrites(true, start.Add(standInDelay))[0]
+	later := start.Add(initialVerdictDuration + time.Second)
 	table.Sweep(later)
 	reader, hearer := New(nil), New(nil)
 	reader.ApplyStored(kept, later)
@@ -251,24 +251,24 @@
 		ends(table, life(i), start, guilty)
 	}
 	ends(table, life(3), start, other)
-	for i := range 3 * recordsMost {
+	for i := range 3 * maxRecords {
 		c := named(fmt.Sprint("flood ", i))
 		table.RecordBrokenResponse(c, life(4), start, start.Add(time.Duration(i)))
 		if i%100 == 0 {
 			table.RecordCrash(life(4), start.Add(time.Duration(i)))
 		}
 	}
-	if n := len(table.records); n > customerMost+1 {
+	if n := len(table.records); n > maxRecordsPerCustomer+1 {
 		t.Errorf("%d contents are kept", n)
 	}
 	want(t, table, guilty, start, Refused)
 	want(t, table, other, start, Suspect)
-	for i := range recordsMost {
+	for i := range maxRecords {
 		c := named(fmt.Sprint("customers ", i))
 		c.Customer = fmt.Sprint("c", i)
 		ends(table, life(5), start.Add(time.Second), c)
 	}
-	if n := len(table.records); n > recordsMost {
+	if n := len(table.records); n > maxRecords {
 		t.Errorf("%d contents are kept", n)
 	}
 	want(t, table, guilty, start, Refused)
@@ -326,7 +326,7 @@
 	if n := len(other.PendingWrites(false, start.Add(time.Minute))); n != 0 {
 		t.Errorf("%d verdicts are written by one who neither saw the end nor stands in", n)
 	}
-	if n := len(other.PendingWrites(true, start.Add(othersAfter))); n != 1 {
+	if n := len(other.PendingWrites(true, start.Add(standInDelay))); n != 1 {
 		t.Errorf("%d verdicts are written by one who stands in", n)
 	}
 }
@@ -337,7 +337,7 @@
 	for i := range 3 {
 		ends(table, life(i), start, c)
 	}
-	now := start.Add(othersAfter)
+	now := start.Add(standInDelay)
 	table.MarkWritten(table.PendingWrites(false, now)[0], 7)
 	table.MarkMissing(c.Content)
 	want(t, table, c, now, Refused)
@@ -369,7 +369,7 @@
 		}
 	}
 	far := `{"ended":[{"target":"a"},{"target":"b"},{"target":"c"}],"until_unix_ms":99999999999999}`
-	if v, err := DecodeVerdict(content, []byte(far), 1, start); err != nil || v.Until.After(start.Add(mostTerm)) {
+	if v, err := DecodeVerdict(content, []byte(far), 1, start); err != nil || v.Until.After(start.Add(maxVerdictDuration)) {
 		t.Errorf("%v, %v", v.Until, err)
 	}
 }
@@ -449,7 +449,7 @@
 		stay.SentTo(life(30))
 		stay.Finish()
 	}
-	if most := newsBurst + seconds*newsRate + reportBytes + 2*endBytes; told > most {
+	if most := reportBurst + seconds*reportRate + reportBytes + 2*crashBytes; told > most {
 		t.Errorf("%d bytes are told in %d seconds, over %d", told, seconds, most)
 	}
 }
--- a/quota/account.go
+++ b/quota/account.go
@@ -12,87 +12,87 @@
 type account struct {
 	name  string
 	limit Limit
-	// at is when the level was brought forward, slicedAt when the slice and the demand.
-	at, slicedAt time.Time
+	// refilledAt is when the level was brought forward, sliceUpdatedAt when the slice and the demand.
+	refilledAt, sliceUpdatedAt time.Time
 	// level is what the limit has left over all processes, as far as is known here;
 	// below 0 where more was let in.
 	level float64
-	// debtMost bounds how far below 0 it goes: beyond the margin, more would only keep the
+	// maxDebt bounds how far below 0 it goes: beyond the margin, more would only keep the
 	// customer out for longer, also where what was told was wrong.
-	debtMost float64
-	// adopted is set once the level is not that of a process that has just started.
-	adopted bool
+	maxDebt float64
+	// levelKnown is set once the level is not that of a process that has just started.
+	levelKnown bool
 	// slice is what this process may let in by itself where the level tells little.
 	slice float64
-	// own is what this process let in since its start.
-	own float64
+	// admittedHere is what this process let in since its start.
+	admittedHere float64
 	// demand is what was asked lately here, let in or not, fading over demandTime.
 	demand float64
-	// promised is what was refused here and told to come back, less what came in since.
-	promised float64
-	// others is what each other process, and each other group, told last.
-	others map[*sender]*use
-	// group is what this process's group let in, as far as is known here.
-	group float64
+	// pendingRetries is what was refused here and told to come back, less what came in since.
+	pendingRetries float64
+	// peerUsage is what each other process, and each other group, told last.
+	peerUsage map[*sender]*peerUsage
+	// admittedInGroup is what this process's admittedInGroup let in, as far as is known here.
+	admittedInGroup float64
 
-	told     toldUse
-	toldFar  map[int]*toldUse
-	over     bool
-	lastOver time.Time
+	reported         reportState
+	reportedToGroups map[int]*reportState
+	overLimit        bool
+	lastRefusedAt    time.Time
 	// admitted and refused count requests.
 	admitted, refused int64
 }
 
-// use is what another process told of a customer.
-type use struct {
-	total  float64
-	demand float64
-	at     time.Time
-	// apart is set where the sender was silent since: what it let in meanwhile was its own
+// peerUsage is what another process told of a customer.
+type peerUsage struct {
+	admitted   float64
+	demand     float64
+	reportedAt time.Time
+	// partitioned is set where the sender was silent since: what it let in meanwhile was its own
 	// part of the limit.
-	apart bool
+	partitioned bool
 }
 
-// asked returns how much the other process is taken to be asked for a second now.
-func (u *use) asked(now time.Time) float64 {
-	return u.demand * fading(now.Sub(u.at)) / demandTime.Seconds()
+// demandRate returns how much the other process is taken to be demandRate for a second now.
+func (u *peerUsage) demandRate(now time.Time) float64 {
+	return u.demand * decay(now.Sub(u.reportedAt)) / demandDecay.Seconds()
 }
 
-// fading returns what is left of a demand after a while.
-func fading(passed time.Duration) float64 {
-	return math.Exp(-passed.Seconds() / demandTime.Seconds())
+// decay returns what is left of a demand after a while.
+func decay(passed time.Duration) float64 {
+	return math.Exp(-passed.Seconds() / demandDecay.Seconds())
 }
 
 // Figures of accounts.
 const (
-	// demandTime is over how long demand fades: long enough to hold several requests of
+	// demandDecay is over how long demand fades: long enough to hold several requests of
 	// a customer, short enough to follow one that turns hot.
-	demandTime = 500 * time.Millisecond
-	// sliceTime bounds what a process saves up of its slice.
-	sliceTime = 250 * time.Millisecond
-	// marginHeld is the part of the margin that covers what is not heard yet; the rest
+	demandDecay = 500 * time.Millisecond
+	// maxSliceAge bounds what a process saves up of its slice.
+	maxSliceAge = 250 * time.Millisecond
+	// unreportedMarginShare is the part of the margin that covers what is not heard yet; the rest
 	// is kept for what can't be foreseen, such as cuts that nobody has noticed.
-	marginHeld = 0.5
-	// minority is the part of the processes below which those that hear each other let
+	unreportedMarginShare = 0.5
+	// quorumShare is the part of the processes below which those that hear each other let
 	// nothing in that is not saved up.
-	minority = 0.5
+	quorumShare = 0.5
 )
 
 func (b *Limiter) newAccount(name string, l Limit, now time.Time) *account {
-	a := &account{name: name, limit: l, at: now, slicedAt: now, debtMost: l.Burst + b.bounds.margin(l), others: map[*sender]*use{}}
+	a := &account{name: name, limit: l, refilledAt: now, sliceUpdatedAt: now, maxDebt: l.Burst + b.tolerance.margin(l), peerUsage: map[*sender]*peerUsage{}}
 	// Others may have spent all: were all killed at once, each would begin with a full
 	// burst of its own.
-	if !b.settling(now) {
-		a.level, a.adopted = l.Burst, true
+	if !b.warmingUp(now) {
+		a.level, a.levelKnown = l.Burst, true
 	}
-	if b.stagger > 0 {
-		a.level, a.slice = 0, -b.random.Float64()*b.stagger
+	if b.staggerCost > 0 {
+		a.level, a.slice = 0, -b.random.Float64()*b.staggerCost
 	}
 	return a
 }
 
-// change puts another limit into force.
-func (b *Limiter) change(a *account, l Limit) {
+// changeLimit puts another limit into force.
+func (b *Limiter) changeLimit(a *account, l Limit) {
 	if l == a.limit {
 		return
 	}
@@ -101,169 +101,169 @@
 		a.level = 0
 	}
 	a.level = min(a.level, l.Burst)
-	a.debtMost = l.Burst + b.bounds.margin(l)
+	a.maxDebt = l.Burst + b.tolerance.margin(l)
 	a.slice = min(a.slice, 0)
-	a.promised = 0
+	a.pendingRetries = 0
 	a.limit = l
 }
 
 // refresh brings an account forward to now; the caller holds mu.
 func (b *Limiter) refresh(a *account, now time.Time) {
-	part := b.part(now)
-	a.refill(part, now)
-	passed := now.Sub(a.slicedAt).Seconds()
-	if passed <= 0 {
+	fraction := b.limitFraction(now)
+	a.refill(fraction, now)
+	elapsed := now.Sub(a.sliceUpdatedAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	a.demand *= fading(now.Sub(a.slicedAt))
-	a.slicedAt = now
-	grows := a.limit.Rate * part * b.share(a, now)
-	if b.off[policy.SharedUsage] {
-		a.slice = min(grows*a.limit.Burst/a.limit.Rate, a.slice+grows*passed)
+	a.demand *= decay(now.Sub(a.sliceUpdatedAt))
+	a.sliceUpdatedAt = now
+	growthRate := a.limit.Rate * fraction * b.demandShare(a, now)
+	if b.disabled[policy.SharedUsage] {
+		a.slice = min(growthRate*a.limit.Burst/a.limit.Rate, a.slice+growthRate*elapsed)
 	} else {
-		pace := a.pace(b.held(a))
-		if b.stagger > 0 && a.level > 0 {
+		paceFactor := a.paceFactor(b.unreportedMargin(a))
+		if b.staggerCost > 0 && a.level > 0 {
 			// What is left of the burst is dealt out by the slices as well: the level alone
 			// opens to all at once, and not where much is asked.
-			pace += a.level / a.limit.Burst
+			paceFactor += a.level / a.limit.Burst
 		}
-		a.slice = min(grows*sliceTime.Seconds(), a.slice+grows*pace*passed)
+		a.slice = min(growthRate*maxSliceAge.Seconds(), a.slice+growthRate*paceFactor*elapsed)
 	}
-	a.promised = max(0, a.promised-grows*passed)
+	a.pendingRetries = max(0, a.pendingRetries-growthRate*elapsed)
 }
 
 // refill adds to the level what came with time, for the part of the limit that is left
 // to the processes that are heard.
-func (a *account) refill(part float64, now time.Time) {
-	passed := now.Sub(a.at).Seconds()
-	if passed <= 0 {
+func (a *account) refill(fraction float64, now time.Time) {
+	elapsed := now.Sub(a.refilledAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	a.at = now
-	a.level = min(a.limit.Burst*part, a.level+a.limit.Rate*part*passed)
+	a.refilledAt = now
+	a.level = min(a.limit.Burst*fraction, a.level+a.limit.Rate*fraction*elapsed)
 }
 
-// held returns how far over its limit a customer may be known to be.
-func (b *Limiter) held(a *account) float64 {
-	return marginHeld * b.bounds.margin(a.limit)
+// unreportedMargin returns how far over its limit a customer may be known to be.
+func (b *Limiter) unreportedMargin(a *account) float64 {
+	return unreportedMarginShare * b.tolerance.margin(a.limit)
 }
 
-// pace returns how fast the slice grows: less where more than the limit was let in, so
+// paceFactor returns how fast the slice grows: less where more than the limit was let in, so
 // that it is made up for.
-func (a *account) pace(held float64) float64 {
-	if held <= 0 {
-		held = 1
+func (a *account) paceFactor(margin float64) float64 {
+	if margin <= 0 {
+		margin = 1
 	}
-	return min(1, max(0, 1+a.level/held))
+	return min(1, max(0, 1+a.level/margin))
 }
 
-// share returns this process's part of what is asked of a customer's limit, among the
+// demandShare returns this process's part of what is asked of a customer's limit, among the
 // processes that it hears.
-func (b *Limiter) share(a *account, now time.Time) float64 {
-	heard := float64(b.heardCount(now))
-	if b.off[policy.DemandShares] {
-		return 1 / heard
+func (b *Limiter) demandShare(a *account, now time.Time) float64 {
+	processes := float64(b.reachableProcesses(now))
+	if b.disabled[policy.DemandShares] {
+		return 1 / processes
 	}
-	all := a.askedOfAll(now)
+	all := a.totalDemandRate(now)
 	if all <= 0 {
-		return 1 / heard
+		return 1 / processes
 	}
-	return a.asked() / all
+	return a.demandRate() / all
 }
 
-// askedOfAll returns how much all processes that are heard are asked for a second.
-func (a *account) askedOfAll(now time.Time) float64 {
-	all := a.asked()
-	for s, u := range a.others {
-		if s.fresh(now) {
-			all += u.asked(now)
+// totalDemandRate returns how much all processes that are heard are asked for a second.
+func (a *account) totalDemandRate(now time.Time) float64 {
+	all := a.demandRate()
+	for s, u := range a.peerUsage {
+		if s.reachable(now) {
+			all += u.demandRate(now)
 		}
 	}
 	return all
 }
 
-// asked returns how much this process is asked for a second.
-func (a *account) asked() float64 { return a.demand / demandTime.Seconds() }
+// demandRate returns how much this process is demandRate for a second.
+func (a *account) demandRate() float64 { return a.demand / demandDecay.Seconds() }
 
 // groupDemand returns what the processes of this one's group are asked together.
 func (a *account) groupDemand(now time.Time) float64 {
 	sum := a.demand
-	for s, u := range a.others {
-		if !s.group && s.fresh(now) {
-			sum += u.demand * fading(now.Sub(u.at))
+	for s, u := range a.peerUsage {
+		if !s.group && s.reachable(now) {
+			sum += u.demand * decay(now.Sub(u.reportedAt))
 		}
 	}
 	return sum
 }
 
-// room is what an account has for one more request.
-type room struct {
-	open bool
-	// lacks is how much is missing where it is not open, and grows how fast it comes.
-	lacks, grows float64
+// capacity is what an account has for one more request.
+type capacity struct {
+	available bool
+	// shortfall is how much is missing where it is not open, and growthRate how fast it comes.
+	shortfall, growthRate float64
 }
 
-// room returns whether one more request may be let in; the caller holds mu and has
+// capacity returns whether one more request may be let in; the caller holds mu and has
 // refreshed the account.
-func (b *Limiter) room(a *account, cost float64, now time.Time) room {
-	part := b.part(now)
-	grows := a.limit.Rate * part
-	if b.off[policy.SharedUsage] {
-		grows *= b.share(a, now)
-		return room{open: a.slice > 0, lacks: -a.slice, grows: grows}
+func (b *Limiter) capacity(a *account, cost float64, now time.Time) capacity {
+	fraction := b.limitFraction(now)
+	growthRate := a.limit.Rate * fraction
+	if b.disabled[policy.SharedUsage] {
+		growthRate *= b.demandShare(a, now)
+		return capacity{available: a.slice > 0, shortfall: -a.slice, growthRate: growthRate}
 	}
-	if part < minority {
+	if fraction < quorumShare {
 		// Each of many that hear nobody could go into debt by a whole request.
-		return room{open: a.level >= cost, lacks: cost - a.level, grows: grows}
+		return capacity{available: a.level >= cost, shortfall: cost - a.level, growthRate: growthRate}
 	}
-	held := b.held(a)
-	left := a.level - max(0, b.unheard(a, now)-held)
+	margin := b.unreportedMargin(a)
+	left := a.level - max(0, b.estimateUnreported(a, now)-margin)
 	if left > 0 {
-		return room{open: true}
+		return capacity{available: true}
 	}
-	if b.off[policy.Pacing] {
-		return room{lacks: -left, grows: grows}
+	if b.disabled[policy.Pacing] {
+		return capacity{shortfall: -left, growthRate: growthRate}
 	}
-	lacks := max(-left, -a.slice)
-	if b.stagger > 0 {
+	shortfall := max(-left, -a.slice)
+	if b.staggerCost > 0 {
 		// What the others may have let in unheard keeps the level closed, not the slice.
-		lacks = max(-held-a.level, -a.slice)
+		shortfall = max(-margin-a.level, -a.slice)
 	}
-	return room{open: a.slice > 0 && a.level > -held, lacks: lacks, grows: grows * b.share(a, now)}
+	return capacity{available: a.slice > 0 && a.level > -margin, shortfall: shortfall, growthRate: growthRate * b.demandShare(a, now)}
 }
 
-// unheard returns what the others may have let in since they were heard last. One that
+// estimateUnreported returns what the others may have let in since they were heard last. One that
 // is late may be cut off, and what it is asked may have grown with what is asked here.
-func (b *Limiter) unheard(a *account, now time.Time) float64 {
-	sum, own := 0.0, a.asked()
+func (b *Limiter) estimateUnreported(a *account, now time.Time) float64 {
+	sum, own := 0.0, a.demandRate()
 	for _, s := range b.senders {
-		if !s.fresh(now) {
+		if !s.reachable(now) {
 			continue
 		}
 		asked, age := 0.0, s.age(now)
-		if u := a.others[s]; u != nil {
-			asked = u.asked(now)
+		if u := a.peerUsage[s]; u != nil {
+			asked = u.demandRate(now)
 		}
-		sum += asked*age.Seconds() + max(0, float64(s.count)*own-asked)*max(0, age-s.patience/4).Seconds()
+		sum += asked*age.Seconds() + max(0, float64(s.processes)*own-asked)*max(0, age-s.timeout/4).Seconds()
 	}
 	return sum
 }
 
-func (a *account) offer(cost float64) {
+func (a *account) addDemand(cost float64) {
 	a.demand += cost
 }
 
-// spend counts what was let in, here or elsewhere, against the level.
-func (a *account) spend(amount float64) {
-	a.level = max(-a.debtMost, min(a.limit.Burst, a.level-amount))
+// debit counts what was let in, here or elsewhere, against the level.
+func (a *account) debit(amount float64) {
+	a.level = max(-a.maxDebt, min(a.limit.Burst, a.level-amount))
 }
 
-// take lets a request in; a cost below 0 gives back.
-func (a *account) take(cost float64) {
-	a.spend(cost)
+// admit lets a request in; a cost below 0 gives back.
+func (a *account) admit(cost float64) {
+	a.debit(cost)
 	a.slice -= cost
-	a.own += cost
-	a.group += cost
+	a.admittedHere += cost
+	a.admittedInGroup += cost
 	if cost > 0 {
 		a.admitted++
 	}
@@ -271,29 +271,29 @@
 
 // Bounds of the time after which a refused client is asked back.
 const (
-	leastWait = 200 * time.Millisecond
-	mostWait  = 30 * time.Second
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
 )
 
 // refuse counts a request that is not let in, and returns when to come back: when the
 // limit has room for it behind those that were told so before.
-func (a *account) refuse(cost float64, r room) time.Duration {
+func (a *account) refuse(cost float64, c capacity) time.Duration {
 	a.refused++
-	a.told.refused = true
-	wait := a.wait(r)
-	a.promise(cost)
-	return wait + leastWait + rand.N(leastWait)
+	a.reported.refusedSince = true
+	wait := a.retryAfter(c)
+	a.addPendingRetry(cost)
+	return wait + minRetryAfter + rand.N(minRetryAfter)
 }
 
-// wait returns when the limit has room behind those that were told to come back.
-func (a *account) wait(r room) time.Duration {
-	if r.grows <= 0 {
-		return mostWait
+// retryAfter returns when the limit has room behind those that were told to come back.
+func (a *account) retryAfter(c capacity) time.Duration {
+	if c.growthRate <= 0 {
+		return maxRetryAfter
 	}
-	return min(mostWait, time.Duration((max(0, r.lacks)+a.promised)/r.grows*float64(time.Second)))
+	return min(maxRetryAfter, time.Duration((max(0, c.shortfall)+a.pendingRetries)/c.growthRate*float64(time.Second)))
 }
 
-// promise counts a request that was told to come back.
-func (a *account) promise(cost float64) {
-	a.promised = min(a.promised+cost, a.limit.Rate*mostWait.Seconds())
+// addPendingRetry counts a request that was told to come back.
+func (a *account) addPendingRetry(cost float64) {
+	a.pendingRetries = min(a.pendingRetries+cost, a.limit.Rate*maxRetryAfter.Seconds())
 }
--- a/quota/groups.go
+++ b/quota/groups.go
@@ -3,64 +3,64 @@
 import "time"
 
 // GroupUpdate returns what this process's group has to tell another one.
-func (b *Limiter) GroupUpdate(to int, now time.Time) UsageUpdate {
+func (b *Limiter) GroupUpdate(group int, now time.Time) UsageUpdate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.meetGroup(to, now)
-	out := UsageUpdate{Uptime: now.Sub(b.start), Processes: 1}
+	b.startGroupReport(group, now)
+	out := UsageUpdate{Uptime: now.Sub(b.startedAt), Processes: 1}
 	for _, s := range b.peers {
-		if s.fresh(now) {
+		if s.reachable(now) {
 			out.Processes++
 		}
 	}
 	for id, a := range b.accounts {
-		t := a.toldTo(to)
-		before := t.total
-		if len(out.Reports) < wordsMost && b.due(a, t, a.group, now) {
+		t := a.groupReport(group)
+		reported := t.total
+		if len(out.Reports) < maxReports && b.takeDue(a, t, a.admittedInGroup, now) {
 			b.refresh(a, now)
-			out.Reports = append(out.Reports, UsageReport{Customer: id, Total: a.group, Increase: a.group - before, Demand: a.groupDemand(now), Level: a.level})
+			out.Reports = append(out.Reports, UsageReport{Customer: id, Total: a.admittedInGroup, Increase: a.admittedInGroup - reported, Demand: a.groupDemand(now), Level: a.level})
 		}
 	}
 	return out
 }
 
-// meetGroup notes that another group is told. One that is told anew gets what is let in
+// startGroupReport notes that another group is told. One that is told anew gets what is let in
 // from now on: what was before, its members know from others, or when they were in a group
 // with this one.
-func (b *Limiter) meetGroup(to int, now time.Time) {
-	if now.Sub(b.toldFar[to]) > groupPatience {
+func (b *Limiter) startGroupReport(group int, now time.Time) {
+	if now.Sub(b.groupReportedAt[group]) > groupTimeout {
 		for _, a := range b.accounts {
-			a.toldTo(to).total = a.group
+			a.groupReport(group).total = a.admittedInGroup
 		}
 	}
-	b.toldFar[to] = now
+	b.groupReportedAt[group] = now
 }
 
 // ApplyGroupUpdate takes what a member of another group tells of it. Another member has
 // counted from another moment on: what it tells first only sets where it begins.
-func (b *Limiter) ApplyGroupUpdate(group int, n UsageUpdate, now time.Time) {
+func (b *Limiter) ApplyGroupUpdate(group int, u UsageUpdate, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.far[group]
-	if s == nil || s.name != n.Sender {
-		b.drop(s)
-		s = &sender{name: n.Sender, group: true, patience: groupPatience}
-		b.far[group] = s
+	s := b.groupSenders[group]
+	if s == nil || s.name != u.Sender {
+		b.dropSender(s)
+		s = &sender{name: u.Sender, group: true, timeout: groupTimeout}
+		b.groupSenders[group] = s
 		b.senders = append(b.senders, s)
 	}
-	s.count = n.Processes
-	b.hear(s, n, now)
+	s.processes = u.Processes
+	b.applyUpdate(s, u, now)
 }
 
-// toldTo returns what was told to another group.
-func (a *account) toldTo(group int) *toldUse {
-	if a.toldFar == nil {
-		a.toldFar = map[int]*toldUse{}
+// groupReport returns what was told to another group.
+func (a *account) groupReport(group int) *reportState {
+	if a.reportedToGroups == nil {
+		a.reportedToGroups = map[int]*reportState{}
 	}
-	t := a.toldFar[group]
+	t := a.reportedToGroups[group]
 	if t == nil {
-		t = &toldUse{}
-		a.toldFar[group] = t
+		t = &reportState{}
+		a.reportedToGroups[group] = t
 	}
 	return t
 }
--- a/quota/limit.go
+++ b/quota/limit.go
@@ -34,28 +34,28 @@
 	DefaultTokens float64
 }
 
-// limits reports whether there is a limit.
-func (l Limit) limits() bool { return l.Rate > 0 }
+// enabled reports whether there is a limit.
+func (l Limit) enabled() bool { return l.Rate > 0 }
 
-// leastBurst is what may be saved up at least: with less a request would find nothing.
+// minBurst is what may be saved up at least: with less a request would find nothing.
 // It stays within the tenth by which deployments let a window be exceeded.
-const leastBurst = 250 * time.Millisecond
+const minBurst = 250 * time.Millisecond
 
-// usable returns the limit with a burst that lets requests in.
-func (l Limit) usable() Limit {
-	l.Burst = max(l.Burst, l.Rate*leastBurst.Seconds())
+// withMinBurst returns the limit with a burst that lets requests in.
+func (l Limit) withMinBurst() Limit {
+	l.Burst = max(l.Burst, l.Rate*minBurst.Seconds())
 	return l
 }
 
-// mostFigure bounds the figures of a limit: far beyond any deployment, and small
+// maxValue bounds the figures of a limit: far beyond any deployment, and small
 // enough for sums over a day to be exact.
-const mostFigure = 1e12
+const maxValue = 1e12
 
 // Check returns what is wrong with a limit.
 func (l Limit) Check() error {
-	for name, figure := range map[string]float64{"rate": l.Rate, "burst": l.Burst, "uncounted": l.DefaultTokens} {
-		if math.IsNaN(figure) || figure < 0 || figure > mostFigure {
-			return fmt.Errorf("the limit's %s is %v; give a number from 0 to %v", name, figure, mostFigure)
+	for name, value := range map[string]float64{"rate": l.Rate, "burst": l.Burst, "uncounted": l.DefaultTokens} {
+		if math.IsNaN(value) || value < 0 || value > maxValue {
+			return fmt.Errorf("the limit's %s is %v; give a number from 0 to %v", name, value, maxValue)
 		}
 	}
 	if l.Unit != Requests && l.Unit != Tokens {
@@ -70,8 +70,8 @@
 	Known  bool
 }
 
-// mostTokens bounds what one request counts.
-const mostTokens = 1 << 40
+// maxTokens bounds what one request counts.
+const maxTokens = 1 << 40
 
 // cost returns what a request of a size counts.
 func (l Limit) cost(s Size) float64 {
@@ -81,7 +81,7 @@
 	case !s.Known:
 		return l.DefaultTokens
 	}
-	return float64(min(max(0, s.Tokens), mostTokens))
+	return float64(min(max(0, s.Tokens), maxTokens))
 }
 
 // Tolerance are what the deployment allows over a limit.
--- a/quota/book_test.go
+++ b/quota/limiter_test.go
@@ -54,7 +54,7 @@
 	for _, c := range []struct {
 		size Size
 		want float64
-	}{{Size{}, 200}, {tokens(-5), 0}, {tokens(math.MaxInt), mostTokens}, {tokens(7), 7}} {
+	}{{Size{}, 200}, {tokens(-5), 0}, {tokens(math.MaxInt), maxTokens}, {tokens(7), 7}} {
 		if got := l.cost(c.size); got != c.want {
 			t.Errorf("%+v counts %v, want %v", c.size, got, c.want)
 		}
@@ -91,7 +91,7 @@
 	if got := left(t, b, begin.Add(800*time.Millisecond)); got != 20 {
 		t.Errorf("%v are left after 0.8 s, want a quarter of 80", got)
 	}
-	b.ApplyPeerUpdate(UsageUpdate{Sender: "old", Uptime: time.Hour, Reports: []UsageReport{{Customer: b.names["c"], Total: 5000, Level: 600}}}, begin.Add(800*time.Millisecond))
+	b.ApplyPeerUpdate(UsageUpdate{Sender: "old", Uptime: time.Hour, Reports: []UsageReport{{Customer: b.ids["c"], Total: 5000, Level: 600}}}, begin.Add(800*time.Millisecond))
 	if got := left(t, b, begin.Add(800*time.Millisecond)); got != 600 {
 		t.Errorf("%v are left, want the 600 that a process knows that was there before", got)
 	}
@@ -192,7 +192,7 @@
 	if len(got) != 1 || !got[0].Over || got[0].Customer != "c" {
 		t.Fatalf("changes %+v", got)
 	}
-	if got = b.Changes(begin.Add(overFor + time.Second)); len(got) != 1 || got[0].Over {
+	if got = b.Changes(begin.Add(overLimitHold + time.Second)); len(got) != 1 || got[0].Over {
 		t.Errorf("changes after it kept within: %+v", got)
 	}
 }
@@ -205,7 +205,7 @@
 	if _, _, ok := b.Admit("c", Size{}, begin.Add(time.Second)); !ok {
 		t.Error("a limit of ten a second without a burst lets nothing in")
 	}
-	b.ApplyPeerUpdate(UsageUpdate{Sender: "x", Reports: []UsageReport{{Customer: b.names["c"], Total: 90_000, Increase: 90_000}}}, begin.Add(time.Second))
+	b.ApplyPeerUpdate(UsageUpdate{Sender: "x", Reports: []UsageReport{{Customer: b.ids["c"], Total: 90_000, Increase: 90_000}}}, begin.Add(time.Second))
 	if _, _, ok := b.Admit("c", Size{}, begin.Add(3*time.Second)); !ok {
 		t.Error("tokens of the unit before keep a customer out for hours")
 	}
@@ -227,7 +227,7 @@
 		}
 	}
 	wait := b.RetryAfter("c", one, now)
-	if wait <= 0 || wait >= mostWait {
+	if wait <= 0 || wait >= maxRetryAfter {
 		t.Fatalf("come back after %v", wait)
 	}
 	opened, at := false, now
--- a/quota/take.go
+++ b/quota/targets.go
@@ -8,17 +8,17 @@
 func (b *Limiter) CanAdmit(name string, size Size, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := b.accounts[b.names[name]]
+	a := b.accounts[b.ids[name]]
 	if a == nil {
 		return true
 	}
 	b.refresh(a, now)
 	cost := a.limit.cost(size)
-	a.offer(cost)
-	open := b.room(a, cost, now).open
+	a.addDemand(cost)
+	open := b.capacity(a, cost, now).available
 	if !open {
 		// What is asked in vain changes the others' shares.
-		a.told.refused = true
+		a.reported.refusedSince = true
 	}
 	return open
 }
@@ -27,15 +27,15 @@
 func (b *Limiter) Consume(name string, size Size, now time.Time) *Charge {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	id := b.names[name]
+	id := b.ids[name]
 	a := b.accounts[id]
 	if a == nil {
 		return nil
 	}
 	b.refresh(a, now)
 	cost := a.limit.cost(size)
-	a.take(cost)
-	return &Charge{book: b, id: id, cost: cost, times: 1}
+	a.admit(cost)
+	return &Charge{limiter: b, id: id, cost: cost, executions: 1}
 }
 
 // RetryAfter returns after how long an account is expected to have room for a request, behind
@@ -43,21 +43,21 @@
 func (b *Limiter) RetryAfter(name string, size Size, now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := b.accounts[b.names[name]]
+	a := b.accounts[b.ids[name]]
 	if a == nil {
 		return 0
 	}
 	b.refresh(a, now)
 	cost := a.limit.cost(size)
-	return a.wait(b.room(a, cost, now))
+	return a.retryAfter(b.capacity(a, cost, now))
 }
 
 // ReserveRetry counts a request that was told to come back.
 func (b *Limiter) ReserveRetry(name string, size Size, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if a := b.accounts[b.names[name]]; a != nil {
+	if a := b.accounts[b.ids[name]]; a != nil {
 		b.refresh(a, now)
-		a.promise(a.limit.cost(size))
+		a.addPendingRetry(a.limit.cost(size))
 	}
 }
--- a/quota/uses.go
+++ b/quota/usage.go
@@ -42,24 +42,24 @@
 
 // Figures of what is told of customers over their limits.
 const (
-	// overFor is for how long a customer counts as over its limit after a refusal.
-	overFor = 5 * time.Second
-	// changesMost bounds the changes that wait to be logged.
-	changesMost = 256
+	// overLimitHold is for how long a customer counts as over its limit after a refusal.
+	overLimitHold = 5 * time.Second
+	// maxChanges bounds the changes that wait to be logged.
+	maxChanges = 256
 )
 
-// noteOver notes a refusal of a customer; the caller holds mu.
-func (b *Limiter) noteOver(a *account, now time.Time) {
-	a.lastOver = now
-	if !a.over {
-		a.over = true
-		b.note(a, now)
+// recordRefusal notes a refusal of a customer; the caller holds mu.
+func (b *Limiter) recordRefusal(a *account, now time.Time) {
+	a.lastRefusedAt = now
+	if !a.overLimit {
+		a.overLimit = true
+		b.recordChange(a, now)
 	}
 }
 
-func (b *Limiter) note(a *account, now time.Time) {
-	if len(b.changes) < changesMost {
-		b.changes = append(b.changes, Change{Customer: a.name, Over: a.over, CustomerUsage: b.use(a, now)})
+func (b *Limiter) recordChange(a *account, now time.Time) {
+	if len(b.changes) < maxChanges {
+		b.changes = append(b.changes, Change{Customer: a.name, Over: a.overLimit, CustomerUsage: b.customerUsage(a, now)})
 	}
 }
 
@@ -69,10 +69,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, a := range b.accounts {
-		if a.over && now.Sub(a.lastOver) > overFor {
-			a.over = false
+		if a.overLimit && now.Sub(a.lastRefusedAt) > overLimitHold {
+			a.overLimit = false
 			b.refresh(a, now)
-			b.note(a, now)
+			b.recordChange(a, now)
 		}
 	}
 	out := b.changes
@@ -80,10 +80,10 @@
 	return out
 }
 
-func (b *Limiter) use(a *account, now time.Time) CustomerUsage {
+func (b *Limiter) customerUsage(a *account, now time.Time) CustomerUsage {
 	return CustomerUsage{
 		Customer: a.name, Unit: a.limit.Unit, Rate: a.limit.Rate, Burst: a.limit.Burst, Remaining: a.level,
-		Demand: a.asked(), TotalDemand: a.askedOfAll(now), Admitted: a.admitted, Refused: a.refused, Over: a.over,
+		Demand: a.demandRate(), TotalDemand: a.totalDemandRate(now), Admitted: a.admitted, Refused: a.refused, Over: a.overLimit,
 	}
 }
 
@@ -91,10 +91,10 @@
 func (b *Limiter) State(now time.Time) State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := State{Members: b.members, Reachable: b.heardCount(now), LimitFraction: b.part(now)}
+	out := State{Members: b.members, Reachable: b.reachableProcesses(now), LimitFraction: b.limitFraction(now)}
 	for _, a := range b.accounts {
 		b.refresh(a, now)
-		out.Customers = append(out.Customers, b.use(a, now))
+		out.Customers = append(out.Customers, b.customerUsage(a, now))
 	}
 	slices.SortFunc(out.Customers, func(a, b CustomerUsage) int { return cmp.Compare(a.Customer, b.Customer) })
 	return out
