--- a/fleet/kept.go
+++ b/fleet/kept.go
@@ -14,13 +14,13 @@
 
 // keep keeps a target's words as its entry goes; the caller holds mu.
 func (f *Fleet) keep(s *state) {
-	if !s.limit.Named && !s.rest.proving {
+	if !s.limit.Declared && !s.rest.proving {
 		return
 	}
 	if len(f.kept) >= keptMost {
 		clear(f.kept)
 	}
-	f.kept[s.runner.ID] = keptWords{life: s.runner.Life(), limit: s.limit, rest: s.rest}
+	f.kept[s.runner.ID] = keptWords{life: s.runner.Instance(), limit: s.limit, rest: s.rest}
 }
 
 // returned returns the state of a target whose entry is new, with what the same life said
--- a/fleet/life.go
+++ b/fleet/life.go
@@ -15,33 +15,33 @@
 	return l.ID == other.ID && (l.Born == other.Born || l.Born == 0 || other.Born == 0)
 }
 
-// Life returns the life that the target is in.
-func (r Runner) Life() Instance {
+// Instance returns the life that the target is in.
+func (r Target) Instance() Instance {
 	return Instance{ID: r.ID, Born: r.Born}
 }
 
-// OnRebirth has told called at the first sign of each later life, with the life
+// OnRestart has told called at the first sign of each later life, with the life
 // that it ends. It is set before the view is used, and must not use the view.
-func (f *Fleet) OnRebirth(told func(now, former Instance)) {
+func (f *Fleet) OnRestart(told func(now, former Instance)) {
 	f.reborn = told
 }
 
-// OnEnded has told called with each life that was seen to have ended. It is set before
+// OnEnd has told called with each life that was seen to have ended. It is set before
 // the view is used, and must not use the view.
-func (f *Fleet) OnEnded(told func(Instance)) {
+func (f *Fleet) OnEnd(told func(Instance)) {
 	f.ended = told
 }
 
-// Hear takes that something was heard of a life and reports whether it is the
+// Observe takes that something was heard of a life and reports whether it is the
 // one that holds: words of another one change nothing.
-func (f *Fleet) Hear(l Instance) bool {
+func (f *Fleet) Observe(l Instance) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.about(l) != nil
 }
 
-// Holds reports whether a life is the target's present one, and listed.
-func (f *Fleet) Holds(l Instance) bool {
+// IsCurrent reports whether a life is the target's present one, and listed.
+func (f *Fleet) IsCurrent(l Instance) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.holds(l)
@@ -49,7 +49,7 @@
 
 func (f *Fleet) holds(l Instance) bool {
 	s := f.states[l.ID]
-	return s != nil && s.runner.Life().Matches(l)
+	return s != nil && s.runner.Instance().Matches(l)
 }
 
 // about returns the state that a word of a life is about. The first word of a
@@ -91,7 +91,7 @@
 	f.unsend(s.runner.ID)
 	f.scattered, f.relimit = true, true
 	if f.reborn != nil {
-		f.reborn(s.runner.Life(), former.runner.Life())
+		f.reborn(s.runner.Instance(), former.runner.Instance())
 	}
 	return s
 }
--- a/node/digest.go
+++ b/node/digest.go
@@ -191,8 +191,8 @@
 // groupNews returns what the node's group tells another one.
 func (p *pulse) groupNews(l link) pulses.Update {
 	now := time.Now()
-	all := p.digest.take(l, p.fleet.GroupLoad(now))
-	all.Engines = p.fleet.GroupWords(now)
+	all := p.digest.take(l, p.fleet.GroupOccupancy(now))
+	all.Engines = p.fleet.GroupEngineReports(now)
 	all.Limits, all.TargetLimits = p.view.limitBook.GroupUpdate(l.group, now), p.view.targetBook.GroupUpdate(l.group, now)
 	p.digest.count(digestTold)
 	return all
@@ -210,12 +210,12 @@
 	}
 	now := time.Now()
 	p.takeLimits(message, now)
-	p.fleet.HeardGroupLoad(int(g.Group), pulses.DecodeGroupLoads(g), now)
+	p.fleet.MergeGroupOccupancy(int(g.Group), pulses.DecodeGroupLoads(g), now)
 	p.heardFindings(message, now)
 	p.heardSuspects(message, now)
-	p.fleet.HeardGroupCaches(int(g.Group), pulses.DecodeCaches(message.Caches), now)
+	p.fleet.MergeGroupCacheUpdates(int(g.Group), pulses.DecodeCaches(message.Caches), now)
 	p.heardSaves(message, now)
-	p.fleet.HeardGroupWords(int(g.Group), pulses.DecodeEngines(message.Engines), now)
+	p.fleet.MergeGroupEngineReports(int(g.Group), pulses.DecodeEngines(message.Engines), now)
 	if g.PassedOn || !p.digest.passesOn(plan, int(g.Group), now) {
 		return
 	}
