--- a/forecast/estimator.go
+++ b/forecast/estimator.go
@@ -117,12 +117,12 @@
 }
 
 func (r PrefillSample) features() [coefficientCount]float64 {
-	return [coefficientCount]float64{1, float64(r.UncachedTokens+r.QueuedTokens) / 1e3, pairs(r.UncachedTokens, r.PromptTokens), float64(r.Transferred.FromTarget) / 1e3, float64(r.Transferred.FromStore) / 1e3}
+	return [coefficientCount]float64{1, float64(r.UncachedTokens+r.QueuedTokens) / 1e3, tokenPairs(r.UncachedTokens, r.PromptTokens), float64(r.Transferred.FromTarget) / 1e3, float64(r.Transferred.FromStore) / 1e3}
 }
 
-// pairs returns how many millions of pairs of tokens reading the last missing
+// tokenPairs returns how many millions of tokenPairs of tokens reading the last missing
 // of a prompt's tokens takes.
-func pairs(missing, prompt int) float64 {
+func tokenPairs(missing, prompt int) float64 {
 	return float64(missing) * (float64(max(prompt, missing)) - float64(missing)/2) / 1e6
 }
 
@@ -189,12 +189,12 @@
 	}
 	e.stale = false
 	all := e.local
-	for sender, h := range e.peers {
-		if now.Sub(h.receivedAt) > reportTTL {
+	for sender, p := range e.peers {
+		if now.Sub(p.receivedAt) > reportTTL {
 			delete(e.peers, sender)
 			continue
 		}
-		all.Merge(h.sums)
+		all.Merge(p.sums)
 	}
 	weight := [coefficientCount]float64{basePriorWeight, tokenPriorWeight, pairsPriorWeight, transferPriorWeight, transferPriorWeight}
 	floor := [coefficientCount]float64{0, minPerKiloToken, 0, minTransfer, minTransfer}
@@ -215,8 +215,8 @@
 // HasEnoughSamples reports whether enough was observed for a request to be refused by it.
 func (e *Estimator) HasEnoughSamples() bool {
 	weight := e.local.Weight
-	for _, h := range e.peers {
-		weight += h.sums.Weight
+	for _, p := range e.peers {
+		weight += p.sums.Weight
 	}
 	return weight >= minSamples
 }
@@ -230,7 +230,7 @@
 // takes an engine that has nothing else to read.
 func (e *Estimator) PrefillTime(missing, prompt int, now time.Time) time.Duration {
 	f := e.current(now)
-	return seconds(f[1]*float64(missing)/1e3 + f[2]*pairs(missing, prompt))
+	return seconds(f[1]*float64(missing)/1e3 + f[2]*tokenPairs(missing, prompt))
 }
 
 // TransferTime returns the time that moving parts of a prompt takes.
@@ -300,8 +300,8 @@
 // hold its slot after its first token; ok is false where no run was seen yet.
 func (e *Estimator) ExpectedSlotHold(maxTokens int) (held time.Duration, ok bool) {
 	all := e.slotHold
-	for _, h := range e.peers {
-		all.add(h.slotHold)
+	for _, p := range e.peers {
+		all.add(p.slotHold)
 	}
 	if all.Tokens <= 0 {
 		return 0, false
--- a/forecast/estimator_test.go
+++ b/forecast/estimator_test.go
@@ -49,7 +49,7 @@
 
 // The three engines that the project has met, and whatever else: a few seconds
 // of prompts tell how long the next one takes, of any size.
-func TestFiguresAreLearntInSeconds(t *testing.T) {
+func TestCoefficientsConvergeWithinSeconds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := trueEngine{
 			fixed: rapid.Float64Range(0.002, 0.2).Draw(rt, "fixed s"),
@@ -65,7 +65,7 @@
 
 // Engines are replaced by others of half the speed while traffic goes on. What
 // was learnt of the old ones must be gone within ten seconds.
-func TestAChangeOfEnginesIsFollowed(t *testing.T) {
+func TestReplacedEnginesAreFollowed(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	e := New()
 	fast, slow := trueEngine{0.05, 0.01, 0.0002}, trueEngine{0.1, 0.022, 0.0005}
@@ -81,7 +81,7 @@
 // process knows in part only. Were the waits taken for reading, the engines
 // would count as ten times slower, more would be refused, and the few left
 // would still have waited. The figures stay.
-func TestWaitingIsNotTakenForReading(t *testing.T) {
+func TestQueueingIsNotLearnedAsPrefill(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 1))
 	e := New()
 	m := trueEngine{0.09, 0.02, 0.0004}
@@ -97,7 +97,7 @@
 
 // A runner stands still for seconds, and some prompts were cached though nobody
 // knew. One observation in ten is off by five times or more, either way.
-func TestFewThatAreFarOffChangeLittle(t *testing.T) {
+func TestOutliersChangeLittle(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 1))
 	e := New()
 	m := trueEngine{0.09, 0.02, 0.0004}
@@ -114,7 +114,7 @@
 
 // An entry starts anew beside others: it knows what they know from their first
 // words on, and a word that comes again counts once.
-func TestAStartTakesTheOthersWord(t *testing.T) {
+func TestNewProcessLearnsFromPeers(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 1))
 	m := trueEngine{0.09, 0.02, 0.0004}
 	old, fresh := New(), New()
@@ -142,7 +142,7 @@
 
 // After an hour without a request the figures are those of an hour ago, not the
 // guess of the first minute.
-func TestIdleTimeForgetsNothing(t *testing.T) {
+func TestIdleTimeKeepsCoefficients(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 1))
 	m := trueEngine{0.09, 0.02, 0.0004}
 	e := New()
--- a/forecast/load.go
+++ b/forecast/load.go
@@ -72,8 +72,8 @@
 // OfferedLoad returns what all processes bring, as far as they told.
 func (e *Estimator) OfferedLoad(now time.Time) OfferedLoad {
 	all := e.offeredRate(now)
-	for _, h := range e.peers {
-		all.addScaled(h.offeredLoad, decayFactor(now.Sub(h.receivedAt), loadDecayTime))
+	for _, p := range e.peers {
+		all.addScaled(p.offeredLoad, decayFactor(now.Sub(p.receivedAt), loadDecayTime))
 	}
 	return all
 }
--- a/forecast/reports.go
+++ b/forecast/reports.go
@@ -37,14 +37,14 @@
 // for other groups, observed together.
 func (e *Estimator) GroupReport(service string, now time.Time) (r Report, ok bool) {
 	r, ok = e.Report(service, now)
-	for _, h := range e.peers {
-		if h.fromGroup || now.Sub(h.receivedAt) > reportTTL {
+	for _, p := range e.peers {
+		if p.fromGroup || now.Sub(p.receivedAt) > reportTTL {
 			continue
 		}
 		ok = true
-		r.Sums.Merge(h.sums)
-		r.SlotHold.add(h.slotHold)
-		r.OfferedLoad.addScaled(h.offeredLoad, decayFactor(now.Sub(h.receivedAt), loadDecayTime))
+		r.Sums.Merge(p.sums)
+		r.SlotHold.add(p.slotHold)
+		r.OfferedLoad.addScaled(p.offeredLoad, decayFactor(now.Sub(p.receivedAt), loadDecayTime))
 	}
 	return r, ok
 }
--- a/forecast/weightloads_test.go
+++ b/forecast/weightloads_test.go
@@ -9,7 +9,7 @@
 
 // Whatever the fleet's size and the loads seen, some runner changes and half of
 // them stay in service.
-func TestAtOnceLeavesHalf(t *testing.T) {
+func TestMaxConcurrentLeavesHalf(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 400).Draw(t, "runners")
 		var l WeightLoads
@@ -26,7 +26,7 @@
 // orders at once each was out of service for twice as long, and captions of the
 // archive found five runners for the work of six. Where loads are short, most of
 // an order is the end of runs, and more of them go together.
-func TestOrdersKeepLoadsAtFullSpeed(t *testing.T) {
+func TestConcurrentLoadsRunAtFullSpeed(t *testing.T) {
 	for _, test := range []struct {
 		runners int
 		load    time.Duration
@@ -49,7 +49,7 @@
 // Most runners have runs to end before they load, which takes up to four times as
 // long. The time of a load stays near that of the idle ones, and follows engines
 // whose weights take longer within some rollouts.
-func TestTheTimeOfALoadIsThatOfIdleRunners(t *testing.T) {
+func TestLoadDurationFollowsIdleRunners(t *testing.T) {
 	var l WeightLoads
 	for i := range 40 {
 		l.Observe(2*time.Second + time.Duration(i%5)*time.Second)
--- a/health/health.go
+++ b/health/health.go
@@ -1,38 +1,36 @@
-// Package health keeps one entry's opinion of one target, from what its own
-// messages met: live, suspect or dead, and back by degrees. It is pure and
+// Package health tracks the health of one target as seen by one entry, from the results of
+// its own requests: live, suspect or dead, with a gradual recovery. It does no I/O and is
 // not safe for concurrent use.
 package health
 
 import "time"
 
-// State is an entry's opinion of a target.
+// State is the health of a target.
 type State string
 
-// The states of a target.
 const (
 	Live State = "live"
-	// Suspect targets are asked, but with a penalty.
+	// Suspect targets receive requests, but with a penalty.
 	Suspect State = "suspect"
-	// Dead targets get one probe at a time.
+	// Dead targets receive one probe request at a time.
 	Dead State = "dead"
 )
 
-// Constants of the opinion.
 const (
-	// deadThreshold is how many failures in a row make a target dead.
+	// deadThreshold is the number of consecutive failures that make a target dead.
 	deadThreshold = 2
-	// minProbeInterval and maxPause bound how long a dead target is left alone.
+	// minProbeInterval and maxProbeInterval bound the time between probes of a dead target.
 	minProbeInterval = 100 * time.Millisecond
 	maxProbeInterval = 5 * time.Second
-	// maxPenalty is the cost of a target that has just failed; it halves
-	// every penaltyHalfLife, so that the target gets its work back by degrees.
+	// maxPenalty is the cost added to a target that has just failed. It halves every
+	// penaltyHalfLife, so that the target regains its load gradually.
 	maxPenalty      = 500 * time.Millisecond
 	penaltyHalfLife = time.Second
 	// minPenalty is the penalty below which a target counts as live.
 	minPenalty = 5 * time.Millisecond
 )
 
-// Tracker is the opinion of one target.
+// Tracker tracks the health of one target. The zero value is live.
 type Tracker struct {
 	failures      int
 	probeInterval time.Duration
@@ -41,7 +39,8 @@
 	penaltyAt     time.Time
 }
 
-// RecordFailure counts one failure to reach the target or of the target itself.
+// RecordFailure records a failed request, whether the target could not be reached or failed
+// itself.
 func (t *Tracker) RecordFailure(now time.Time) {
 	t.failures++
 	t.penalty = maxPenalty
@@ -53,20 +52,18 @@
 	t.nextProbeAt = now.Add(t.probeInterval)
 }
 
-// RecordConnectFailure counts a failure to connect: a target that answers nothing needs
-// no second sign.
+// RecordConnectFailure records a failure to connect, which makes the target dead at once.
 func (t *Tracker) RecordConnectFailure(now time.Time) {
 	t.failures = max(t.failures, deadThreshold-1)
 	t.RecordFailure(now)
 }
 
-// RecordSuccess counts one good answer.
+// RecordSuccess records a successful request.
 func (t *Tracker) RecordSuccess() {
 	t.failures = 0
 	t.probeInterval = 0
 }
 
-// State returns the opinion now.
 func (t *Tracker) State(now time.Time) State {
 	switch {
 	case t.failures >= deadThreshold:
@@ -77,9 +74,9 @@
 	return Live
 }
 
-// AllowRequest reports whether the target may be asked now. A dead one may once its
-// pause is over, and the asking starts the next pause, so that one probe goes
-// at a time.
+// AllowRequest reports whether a request may be sent to the target now. A dead target is
+// allowed one request when its probe interval has passed; the call starts the next
+// interval, so that only one probe is sent at a time.
 func (t *Tracker) AllowRequest(now time.Time) bool {
 	if t.failures < deadThreshold {
 		return true
@@ -91,7 +88,7 @@
 	return true
 }
 
-// Penalty returns the cost that the doubt adds now.
+// Penalty returns the cost that recent failures add now.
 func (t *Tracker) Penalty(now time.Time) time.Duration {
 	p := t.penalty
 	for since := now.Sub(t.penaltyAt); p > 0 && since >= penaltyHalfLife; since -= penaltyHalfLife {
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -9,31 +9,31 @@
 
 // A target that fails is asked less, then left alone, probed one request at a
 // time, and given its work back by degrees.
-func TestOpinion(t *testing.T) {
+func TestStateTransitions(t *testing.T) {
 	var target Tracker
 	if target.State(start) != Live || !target.AllowRequest(start) {
-		t.Fatal("a new target is live")
+		t.Fatal("a new target is not live")
 	}
 	target.RecordFailure(start)
 	if target.State(start) != Suspect || !target.AllowRequest(start) || target.Penalty(start) != maxPenalty {
-		t.Error("after one failure a target is suspect")
+		t.Error("after one failure the target is not suspect with the full penalty")
 	}
 	target.RecordFailure(start)
 	if target.State(start) != Dead || target.AllowRequest(start) {
-		t.Error("after two failures a target is left alone")
+		t.Error("after two failures the target is not dead or still gets requests")
 	}
 	later := start.Add(minProbeInterval)
 	if !target.AllowRequest(later) || target.AllowRequest(later) {
-		t.Error("one probe at a time")
+		t.Error("the probe was refused, or two were allowed at a time")
 	}
 	target.RecordSuccess()
 	if target.State(later) != Suspect {
-		t.Error("a target that came back is suspect for a while")
+		t.Error("a recovered target is not suspect")
 	}
 	if p := target.Penalty(start.Add(2 * penaltyHalfLife)); p != maxPenalty/4 {
 		t.Errorf("penalty %v, want a quarter", p)
 	}
 	if target.State(start.Add(time.Minute)) != Live {
-		t.Error("a penalty must fade")
+		t.Error("the penalty does not expire")
 	}
 }
--- a/poison/evaluate.go
+++ b/poison/evaluate.go
@@ -45,16 +45,16 @@
 	if r == nil || r.countedCrashes() == 0 {
 		return Decision{Status: Free}
 	}
-	j := Decision{Status: Suspect, Crashes: r.countedCrashes()}
+	d := Decision{Status: Suspect, Crashes: r.countedCrashes()}
 	switch {
 	case r.convicted(now):
-		j.Status, j.Remaining = Refused, r.until.Sub(now)
+		d.Status, d.Remaining = Refused, r.until.Sub(now)
 	case t.isRunning(content, now):
-		j.Status = Waiting
+		d.Status = Waiting
 	default:
-		j.Avoid = t.suspectTargets(now)
+		d.Avoid = t.suspectTargets(now)
 	}
-	return j
+	return d
 }
 
 // RefusedCount returns how many contents are refused now.
@@ -72,7 +72,7 @@
 
 // isRunning reports whether a request with a content is at a target; the caller holds mu.
 func (t *Table) isRunning(content Fingerprint, now time.Time) bool {
-	if slices.ContainsFunc(t.running[content], func(s *ActiveRequest) bool { return s.target != nil }) {
+	if slices.ContainsFunc(t.running[content], func(a *ActiveRequest) bool { return a.target != nil }) {
 		return true
 	}
 	w, ok := t.remoteSuspects[content]
@@ -87,8 +87,8 @@
 			out = append(out, r.target)
 		}
 	}
-	for _, life := range t.localSuspects {
-		out = append(out, life)
+	for _, instance := range t.localSuspects {
+		out = append(out, instance)
 	}
 	return out
 }
@@ -104,48 +104,48 @@
 func (t *Table) Track(content Fingerprint) *ActiveRequest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := &ActiveRequest{table: t, content: content}
-	t.running[content] = append(t.running[content], s)
-	return s
+	a := &ActiveRequest{table: t, content: content}
+	t.running[content] = append(t.running[content], a)
+	return a
 }
 
 // SentTo notes the target to which the request is sent.
-func (s *ActiveRequest) SentTo(life fleet.Instance) {
-	s.setTarget(&life)
+func (a *ActiveRequest) SentTo(target fleet.Instance) {
+	a.setTarget(&target)
 }
 
 // setTarget notes where the request is, and has it told of a suspect.
-func (s *ActiveRequest) setTarget(target *fleet.Instance) {
-	s.table.mu.Lock()
-	defer s.table.mu.Unlock()
-	s.target = target
-	delete(s.table.localSuspects, s)
-	r := s.table.records[s.content]
+func (a *ActiveRequest) setTarget(target *fleet.Instance) {
+	a.table.mu.Lock()
+	defer a.table.mu.Unlock()
+	a.target = target
+	delete(a.table.localSuspects, a)
+	r := a.table.records[a.content]
 	if r == nil || r.countedCrashes() == 0 {
 		return
 	}
 	r.pendingSends = max(r.pendingSends, 1)
 	if target != nil {
-		s.table.localSuspects[s] = *target
+		a.table.localSuspects[a] = *target
 	}
 }
 
 // LeftTarget notes that the request is at no target. Where it is a suspect's, the others hear
 // it with the next pulse: a repeat waits no longer than the request is tried.
-func (s *ActiveRequest) LeftTarget() {
-	s.setTarget(nil)
+func (a *ActiveRequest) LeftTarget() {
+	a.setTarget(nil)
 }
 
 // Finish counts the request out.
-func (s *ActiveRequest) Finish() {
-	t := s.table
+func (a *ActiveRequest) Finish() {
+	t := a.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.localSuspects, s)
-	left := slices.DeleteFunc(t.running[s.content], func(other *ActiveRequest) bool { return other == s })
+	delete(t.localSuspects, a)
+	left := slices.DeleteFunc(t.running[a.content], func(other *ActiveRequest) bool { return other == a })
 	if len(left) == 0 {
-		delete(t.running, s.content)
+		delete(t.running, a.content)
 		return
 	}
-	t.running[s.content] = left
+	t.running[a.content] = left
 }
--- a/poison/fingerprint_test.go
+++ b/poison/fingerprint_test.go
@@ -5,7 +5,7 @@
 // A request comes again under another id, or with another key of the same customer:
 // it must be known again. Another customer's request with the same words, or one whose
 // fields only join to the same text, must not be refused for it.
-func TestFingerprintNamesTheContent(t *testing.T) {
+func TestFingerprintIdentifiesContent(t *testing.T) {
 	one := Content{Method: "POST", Host: "a.example", URI: "/p/1?x=1", Customer: "c1", Body: []byte("body")}
 	same := one
 	same.Body = []byte("body")
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestParse(t *testing.T) {
+func TestParseFingerprint(t *testing.T) {
 	f := Content{Method: "GET"}.Fingerprint()
 	if got, err := ParseFingerprint(f.String()); err != nil || got != f {
 		t.Errorf("%v, %v", got, err)
--- a/poison/reports.go
+++ b/poison/reports.go
@@ -119,13 +119,13 @@
 
 // report returns what is told of a content. Whose it is matters to the others once more
 // than one target has ended.
-func (r *record) report(at *fleet.Instance, now time.Time) Report {
-	out := Report{Case: r.Case, RunningOn: at, Remaining: max(0, r.until.Sub(now))}
+func (r *record) report(runningOn *fleet.Instance, now time.Time) Report {
+	out := Report{Case: r.Case, RunningOn: runningOn, Remaining: max(0, r.until.Sub(now))}
 	if len(r.crashes) < 2 {
 		out.Case = Case{Content: r.Content}
 	}
 	for _, e := range r.crashes {
-		out.Crashes = append(out.Crashes, Crash{Instance: e.life, Cleared: e.cleared})
+		out.Crashes = append(out.Crashes, Crash{Instance: e.instance, Cleared: e.cleared})
 	}
 	return out
 }
@@ -133,9 +133,9 @@
 // localTarget returns a target at which this process has a request with a content, or
 // nil; the caller holds mu.
 func (t *Table) localTarget(content Fingerprint) *fleet.Instance {
-	for _, s := range t.running[content] {
-		if s.target != nil {
-			return s.target
+	for _, a := range t.running[content] {
+		if a.target != nil {
+			return a.target
 		}
 	}
 	return nil
@@ -175,11 +175,13 @@
 			t.clearCrash(report.Case, e.Instance, now)
 		}
 	}
-	addCrash := t.recordCrash
+	addCrash := t.countCrash
 	if report.verdictLapsed() {
 		// It is on trial there. Taken for ends that have just been seen, they would begin
 		// a verdict anew at whoever starts, with no end since the last one.
-		addCrash = func(c Case, life fleet.Instance, from Origin, now time.Time) { t.addCrash(c, life, from, now) }
+		addCrash = func(c Case, instance fleet.Instance, origin Origin, now time.Time) {
+			t.addCrash(c, instance, origin, now)
+		}
 	}
 	for _, e := range report.Crashes {
 		if !e.Cleared {
@@ -209,13 +211,13 @@
 
 // clearCrash takes that an end counts no more; the caller holds mu. It is kept also
 // where the end is not known: its news may come later than that of its clearCrash.
-func (t *Table) clearCrash(c Case, life fleet.Instance, now time.Time) {
+func (t *Table) clearCrash(c Case, instance fleet.Instance, now time.Time) {
 	r := t.record(c, now)
 	for i, e := range r.crashes {
-		if e.life.Matches(life) {
+		if e.instance.Matches(instance) {
 			r.crashes[i].cleared = true
 			return
 		}
 	}
-	r.appendCrash(crash{life: life, cleared: true, learnedAt: now})
+	r.appendCrash(crashEntry{instance: instance, cleared: true, learnedAt: now})
 }
--- a/poison/table.go
+++ b/poison/table.go
@@ -63,7 +63,7 @@
 type record struct {
 	Case
 	// crashes are the lives of targets that ended while they ran it.
-	crashes   []crash
+	crashes   []crashEntry
 	updatedAt time.Time
 	// until is when the verdict lapses, and term how long it holds; zero before the
 	// first.
@@ -80,20 +80,20 @@
 	revision   int64
 }
 
-// crash is a life that ended under a content. One that was discharged, because the
+// crashEntry is a life that ended under a content. One that was discharged, because the
 // content has been served since or an operator lifted the verdict, counts no more,
 // whoever tells of it later.
-type crash struct {
-	life    fleet.Instance
-	cleared bool
+type crashEntry struct {
+	instance fleet.Instance
+	cleared  bool
 	// learnedAt is when this process came to know of it.
 	learnedAt time.Time
 }
 
 // brokenResponse is an answer that its target broke off.
 type brokenResponse struct {
-	request Case
-	life    fleet.Instance
+	request  Case
+	instance fleet.Instance
 	// sentAt is when the request was sent there, brokenAt when it broke off.
 	sentAt, brokenAt time.Time
 }
@@ -126,8 +126,8 @@
 	reportedAt time.Time
 }
 
-func (w remoteRun) valid(now time.Time) bool {
-	return now.Sub(w.reportedAt) <= remoteRunTTL
+func (r remoteRun) valid(now time.Time) bool {
+	return now.Sub(r.reportedAt) <= remoteRunTTL
 }
 
 // New returns an empty table. It tells changed of each change; changed may be nil.
@@ -153,14 +153,14 @@
 
 // RecordBrokenResponse takes that a target broke off its answer to a request that it was sent at began.
 // That counts once the target is known to have ended.
-func (t *Table) RecordBrokenResponse(c Case, life fleet.Instance, began, now time.Time) {
+func (t *Table) RecordBrokenResponse(c Case, instance fleet.Instance, sentAt, now time.Time) {
 	t.mu.Lock()
 	defer t.unlockAndNotify()
 	t.dropStaleEvidence(now)
-	b := brokenResponse{request: c, life: life, sentAt: began, brokenAt: now}
-	for l, at := range t.crashedAt {
-		if l.Matches(life) && !began.After(at) {
-			t.countLocal(b, now)
+	b := brokenResponse{request: c, instance: instance, sentAt: sentAt, brokenAt: now}
+	for other, at := range t.crashedAt {
+		if other.Matches(instance) && !sentAt.After(at) {
+			t.countLocalCrash(b, now)
 			return
 		}
 	}
@@ -170,36 +170,36 @@
 	t.brokenResponses = append(t.brokenResponses, b)
 }
 
-// countLocal counts an end that this process saw; the caller holds mu. A target may have
+// countLocalCrash counts an end that this process saw; the caller holds mu. A target may have
 // started again with nobody saying so, such as while the store is away: a request that
 // was sent there after its last end was known ran in a later life, which is told apart
 // by that moment.
-func (t *Table) countLocal(b brokenResponse, now time.Time) {
-	life := b.life
-	if r := t.records[b.request.Content]; r != nil && r.hasCrash(life) && b.sentAt.After(r.lastCrash(life.ID)) {
-		life.Born = b.sentAt.UnixMilli()
+func (t *Table) countLocalCrash(b brokenResponse, now time.Time) {
+	instance := b.instance
+	if r := t.records[b.request.Content]; r != nil && r.hasCrash(instance) && b.sentAt.After(r.lastCrash(instance.ID)) {
+		instance.Born = b.sentAt.UnixMilli()
 	}
-	t.recordCrash(b.request, life, OriginLocal, now)
+	t.countCrash(b.request, instance, OriginLocal, now)
 }
 
 // AwaitsEvidence reports whether broken answers of a life wait for evidence.
-func (t *Table) AwaitsEvidence(life fleet.Instance) bool {
+func (t *Table) AwaitsEvidence(instance fleet.Instance) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.ContainsFunc(t.brokenResponses, func(b brokenResponse) bool { return b.life.Matches(life) })
+	return slices.ContainsFunc(t.brokenResponses, func(b brokenResponse) bool { return b.instance.Matches(instance) })
 }
 
 // RecordCrash takes the evidence that a life of a target has ended, and not as planned.
-func (t *Table) RecordCrash(life fleet.Instance, now time.Time) {
+func (t *Table) RecordCrash(instance fleet.Instance, now time.Time) {
 	t.mu.Lock()
 	defer t.unlockAndNotify()
 	t.dropStaleEvidence(now)
-	t.crashedAt[life] = now
+	t.crashedAt[instance] = now
 	t.brokenResponses = slices.DeleteFunc(t.brokenResponses, func(b brokenResponse) bool {
-		if !b.life.Matches(life) {
+		if !b.instance.Matches(instance) {
 			return false
 		}
-		t.countLocal(b, now)
+		t.countLocalCrash(b, now)
 		return true
 	})
 }
@@ -208,45 +208,45 @@
 func (t *Table) dropStaleEvidence(now time.Time) {
 	stale := func(at time.Time) bool { return now.Sub(at) > evidenceTimeout }
 	t.brokenResponses = slices.DeleteFunc(t.brokenResponses, func(b brokenResponse) bool { return stale(b.brokenAt) })
-	for life, at := range t.crashedAt {
+	for instance, at := range t.crashedAt {
 		if stale(at) {
-			delete(t.crashedAt, life)
+			delete(t.crashedAt, instance)
 		}
 	}
 }
 
-// recordCrash adds an end to a content's, and begins a verdict where it is one too many; the
+// countCrash adds an end to a content's, and begins a verdict where it is one too many; the
 // caller holds mu.
-func (t *Table) recordCrash(c Case, life fleet.Instance, origin Origin, now time.Time) {
-	r, added := t.addCrash(c, life, origin, now)
+func (t *Table) countCrash(c Case, instance fleet.Instance, origin Origin, now time.Time) {
+	r, added := t.addCrash(c, instance, origin, now)
 	if added && r.countedCrashes() >= CrashThreshold && !now.Before(r.until) {
-		t.convict(r, c, life, origin, now)
+		t.convict(r, c, instance, origin, now)
 	}
 }
 
 // addCrash adds an end to a content's, and reports whether it was not known; the caller holds
 // mu.
-func (t *Table) addCrash(c Case, life fleet.Instance, origin Origin, now time.Time) (r *record, added bool) {
+func (t *Table) addCrash(c Case, instance fleet.Instance, origin Origin, now time.Time) (r *record, added bool) {
 	r = t.record(c, now)
-	if r.hasCrash(life) {
+	if r.hasCrash(instance) {
 		return r, false
 	}
-	r.appendCrash(crash{life: life, learnedAt: now})
+	r.appendCrash(crashEntry{instance: instance, learnedAt: now})
 	r.updatedAt = now
 	t.version++
 	if origin == OriginLocal {
 		r.Case, r.pendingSends = c, crashRepeats
-		t.addChange(Change{Kind: Suspected, Origin: origin, Target: life, Crashes: r.countedCrashes()}, c)
+		t.addChange(Change{Kind: Suspected, Origin: origin, Target: instance, Crashes: r.countedCrashes()}, c)
 	}
 	return r, true
 }
 
 // convict begins a verdict; the caller holds mu.
-func (t *Table) convict(r *record, c Case, life fleet.Instance, origin Origin, now time.Time) {
+func (t *Table) convict(r *record, c Case, instance fleet.Instance, origin Origin, now time.Time) {
 	r.duration = min(max(2*r.duration, initialVerdictDuration), maxVerdictDuration)
 	r.until, r.expiryReported, r.inStore = now.Add(r.duration), false, origin == OriginStore
 	r.needsWrite = r.needsWrite || origin == OriginLocal
-	t.addChange(Change{Kind: Convicted, Origin: origin, Target: life, Crashes: r.countedCrashes(), Until: r.until}, c)
+	t.addChange(Change{Kind: Convicted, Origin: origin, Target: instance, Crashes: r.countedCrashes(), Until: r.until}, c)
 }
 
 func (t *Table) addChange(change Change, c Case) {
@@ -298,22 +298,22 @@
 	t.addChange(Change{Kind: Dropped, Crashes: least.countedCrashes()}, least.Case)
 }
 
-func (r *record) hasCrash(life fleet.Instance) bool {
-	return slices.ContainsFunc(r.crashes, func(e crash) bool { return e.life.Matches(life) })
+func (r *record) hasCrash(instance fleet.Instance) bool {
+	return slices.ContainsFunc(r.crashes, func(e crashEntry) bool { return e.instance.Matches(instance) })
 }
 
 // lastCrash returns when the last end of a target came to be known.
 func (r *record) lastCrash(target string) time.Time {
 	var last time.Time
 	for _, e := range r.crashes {
-		if e.life.ID == target && e.learnedAt.After(last) {
+		if e.instance.ID == target && e.learnedAt.After(last) {
 			last = e.learnedAt
 		}
 	}
 	return last
 }
 
-func (r *record) appendCrash(e crash) {
+func (r *record) appendCrash(e crashEntry) {
 	r.crashes = append(r.crashes, e)
 	if len(r.crashes) > maxCrashesPerRecord {
 		r.crashes = r.crashes[1:]
--- a/poison/verdict.go
+++ b/poison/verdict.go
@@ -53,7 +53,7 @@
 	v := Verdict{Case: r.Case, Until: r.until, Lifted: r.countedCrashes() == 0, Revision: r.revision}
 	for _, e := range r.crashes {
 		if v.Lifted || !e.cleared {
-			v.Crashed = append(v.Crashed, e.life)
+			v.Crashed = append(v.Crashed, e.instance)
 		}
 	}
 	return v
@@ -87,8 +87,8 @@
 		return
 	}
 	report := Report{Case: v.Case, Remaining: v.Until.Sub(now)}
-	for _, life := range v.Crashed {
-		report.Crashes = append(report.Crashes, Crash{Instance: life})
+	for _, instance := range v.Crashed {
+		report.Crashes = append(report.Crashes, Crash{Instance: instance})
 	}
 	t.applyReport(report, OriginStore, now)
 	if r := t.records[v.Content]; r != nil {
@@ -99,8 +99,8 @@
 
 // applyLift ends a verdict by the store's word; the caller holds mu.
 func (t *Table) applyLift(v Verdict, now time.Time) {
-	for _, life := range v.Crashed {
-		t.clearCrash(v.Case, life, now)
+	for _, instance := range v.Crashed {
+		t.clearCrash(v.Case, instance, now)
 	}
 	r := t.record(v.Case, now)
 	if r.clearCrashes() || !r.until.IsZero() {
@@ -127,8 +127,8 @@
 // Encode returns the value under which a verdict is kept.
 func (v Verdict) Encode() ([]byte, error) {
 	w := storedVerdict{Service: v.Service, Customer: v.Customer, Request: v.Request, UntilMS: v.Until.UnixMilli(), Lifted: v.Lifted}
-	for _, life := range v.Crashed {
-		w.Ended = append(w.Ended, storedTarget{Target: life.ID, Born: life.Born})
+	for _, instance := range v.Crashed {
+		w.Ended = append(w.Ended, storedTarget{Target: instance.ID, Born: instance.Born})
 	}
 	return json.Marshal(w)
 }
@@ -146,8 +146,8 @@
 		Case:  Case{Content: content, Service: w.Service, Customer: w.Customer, Request: w.Request},
 		Until: time.UnixMilli(w.UntilMS), Lifted: w.Lifted, Revision: revision,
 	}
-	for _, life := range w.Ended {
-		v.Crashed = append(v.Crashed, fleet.Instance{ID: life.Target, Born: life.Born})
+	for _, target := range w.Ended {
+		v.Crashed = append(v.Crashed, fleet.Instance{ID: target.Target, Born: target.Born})
 	}
 	if !v.Lifted && len(v.Crashed) < CrashThreshold {
 		return Verdict{}, fmt.Errorf("read a verdict: %w; %d are needed", errTooFewCrashes, CrashThreshold)
--- a/quota/account.go
+++ b/quota/account.go
@@ -59,8 +59,8 @@
 }
 
 // decay returns what is left of a demand after a while.
-func decay(passed time.Duration) float64 {
-	return math.Exp(-passed.Seconds() / demandDecay.Seconds())
+func decay(elapsed time.Duration) float64 {
+	return math.Exp(-elapsed.Seconds() / demandDecay.Seconds())
 }
 
 // Figures of accounts.
@@ -78,21 +78,21 @@
 	quorumShare = 0.5
 )
 
-func (b *Limiter) newAccount(name string, l Limit, now time.Time) *account {
-	a := &account{name: name, limit: l, refilledAt: now, sliceUpdatedAt: now, maxDebt: l.Burst + b.tolerance.margin(l), peerUsage: map[*sender]*peerUsage{}}
+func (lim *Limiter) newAccount(name string, l Limit, now time.Time) *account {
+	a := &account{name: name, limit: l, refilledAt: now, sliceUpdatedAt: now, maxDebt: l.Burst + lim.tolerance.margin(l), peerUsage: map[*sender]*peerUsage{}}
 	// Others may have spent all: were all killed at once, each would begin with a full
 	// burst of its own.
-	if !b.warmingUp(now) {
+	if !lim.warmingUp(now) {
 		a.level, a.levelKnown = l.Burst, true
 	}
-	if b.staggerCost > 0 {
-		a.level, a.slice = 0, -b.random.Float64()*b.staggerCost
+	if lim.staggerCost > 0 {
+		a.level, a.slice = 0, -lim.random.Float64()*lim.staggerCost
 	}
 	return a
 }
 
 // changeLimit puts another limit into force.
-func (b *Limiter) changeLimit(a *account, l Limit) {
+func (lim *Limiter) changeLimit(a *account, l Limit) {
 	if l == a.limit {
 		return
 	}
@@ -101,15 +101,15 @@
 		a.level = 0
 	}
 	a.level = min(a.level, l.Burst)
-	a.maxDebt = l.Burst + b.tolerance.margin(l)
+	a.maxDebt = l.Burst + lim.tolerance.margin(l)
 	a.slice = min(a.slice, 0)
 	a.pendingRetries = 0
 	a.limit = l
 }
 
 // refresh brings an account forward to now; the caller holds mu.
-func (b *Limiter) refresh(a *account, now time.Time) {
-	fraction := b.limitFraction(now)
+func (lim *Limiter) refresh(a *account, now time.Time) {
+	fraction := lim.limitFraction(now)
 	a.refill(fraction, now)
 	elapsed := now.Sub(a.sliceUpdatedAt).Seconds()
 	if elapsed <= 0 {
@@ -117,12 +117,12 @@
 	}
 	a.demand *= decay(now.Sub(a.sliceUpdatedAt))
 	a.sliceUpdatedAt = now
-	growthRate := a.limit.Rate * fraction * b.demandShare(a, now)
-	if b.disabled[policy.SharedUsage] {
+	growthRate := a.limit.Rate * fraction * lim.demandShare(a, now)
+	if lim.disabled[policy.SharedUsage] {
 		a.slice = min(growthRate*a.limit.Burst/a.limit.Rate, a.slice+growthRate*elapsed)
 	} else {
-		paceFactor := a.paceFactor(b.unreportedMargin(a))
-		if b.staggerCost > 0 && a.level > 0 {
+		paceFactor := a.paceFactor(lim.unreportedMargin(a))
+		if lim.staggerCost > 0 && a.level > 0 {
 			// What is left of the burst is dealt out by the slices as well: the level alone
 			// opens to all at once, and not where much is asked.
 			paceFactor += a.level / a.limit.Burst
@@ -144,8 +144,8 @@
 }
 
 // unreportedMargin returns how far over its limit a customer may be known to be.
-func (b *Limiter) unreportedMargin(a *account) float64 {
-	return unreportedMarginShare * b.tolerance.margin(a.limit)
+func (lim *Limiter) unreportedMargin(a *account) float64 {
+	return unreportedMarginShare * lim.tolerance.margin(a.limit)
 }
 
 // paceFactor returns how fast the slice grows: less where more than the limit was let in, so
@@ -159,9 +159,9 @@
 
 // demandShare returns this process's part of what is asked of a customer's limit, among the
 // processes that it hears.
-func (b *Limiter) demandShare(a *account, now time.Time) float64 {
-	processes := float64(b.reachableProcesses(now))
-	if b.disabled[policy.DemandShares] {
+func (lim *Limiter) demandShare(a *account, now time.Time) float64 {
+	processes := float64(lim.reachableProcesses(now))
+	if lim.disabled[policy.DemandShares] {
 		return 1 / processes
 	}
 	all := a.totalDemandRate(now)
@@ -205,38 +205,38 @@
 
 // capacity returns whether one more request may be let in; the caller holds mu and has
 // refreshed the account.
-func (b *Limiter) capacity(a *account, cost float64, now time.Time) capacity {
-	fraction := b.limitFraction(now)
+func (lim *Limiter) capacity(a *account, cost float64, now time.Time) capacity {
+	fraction := lim.limitFraction(now)
 	growthRate := a.limit.Rate * fraction
-	if b.disabled[policy.SharedUsage] {
-		growthRate *= b.demandShare(a, now)
+	if lim.disabled[policy.SharedUsage] {
+		growthRate *= lim.demandShare(a, now)
 		return capacity{available: a.slice > 0, shortfall: -a.slice, growthRate: growthRate}
 	}
 	if fraction < quorumShare {
 		// Each of many that hear nobody could go into debt by a whole request.
 		return capacity{available: a.level >= cost, shortfall: cost - a.level, growthRate: growthRate}
 	}
-	margin := b.unreportedMargin(a)
-	left := a.level - max(0, b.estimateUnreported(a, now)-margin)
+	margin := lim.unreportedMargin(a)
+	left := a.level - max(0, lim.estimateUnreported(a, now)-margin)
 	if left > 0 {
 		return capacity{available: true}
 	}
-	if b.disabled[policy.Pacing] {
+	if lim.disabled[policy.Pacing] {
 		return capacity{shortfall: -left, growthRate: growthRate}
 	}
 	shortfall := max(-left, -a.slice)
-	if b.staggerCost > 0 {
+	if lim.staggerCost > 0 {
 		// What the others may have let in unheard keeps the level closed, not the slice.
 		shortfall = max(-margin-a.level, -a.slice)
 	}
-	return capacity{available: a.slice > 0 && a.level > -margin, shortfall: shortfall, growthRate: growthRate * b.demandShare(a, now)}
+	return capacity{available: a.slice > 0 && a.level > -margin, shortfall: shortfall, growthRate: growthRate * lim.demandShare(a, now)}
 }
 
 // estimateUnreported returns what the others may have let in since they were heard last. One that
 // is late may be cut off, and what it is asked may have grown with what is asked here.
-func (b *Limiter) estimateUnreported(a *account, now time.Time) float64 {
+func (lim *Limiter) estimateUnreported(a *account, now time.Time) float64 {
 	sum, own := 0.0, a.demandRate()
-	for _, s := range b.senders {
+	for _, s := range lim.senders {
 		if !s.reachable(now) {
 			continue
 		}
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -51,8 +51,8 @@
 // Stagger has the slices of new accounts, of which each request counts so much, begin
 // with a random part of one as debt. Without it each of many processes lets one request
 // in at the same moment once an account is limited. It is called before the book is used.
-func (b *Limiter) Stagger(requestCost float64, random *rand.Rand) {
-	b.staggerCost, b.random = requestCost, random
+func (lim *Limiter) Stagger(requestCost float64, random *rand.Rand) {
+	lim.staggerCost, lim.random = requestCost, random
 }
 
 // warmUp is how long after its start a process knows how many there are, and has
@@ -60,16 +60,16 @@
 const warmUp = time.Second
 
 // warmingUp reports whether the process has just started; the caller holds mu.
-func (b *Limiter) warmingUp(now time.Time) bool {
-	return now.Sub(b.startedAt) < warmUp
+func (lim *Limiter) warmingUp(now time.Time) bool {
+	return now.Sub(lim.startedAt) < warmUp
 }
 
 // SetLimits sets the limits of all customers by their names. What a customer has left
 // changes in proportion to its limit.
-func (b *Limiter) SetLimits(limits map[string]Limit, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	names := make(map[string]uint64, len(limits))
+func (lim *Limiter) SetLimits(limits map[string]Limit, now time.Time) {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	ids := make(map[string]uint64, len(limits))
 	accounts := make(map[uint64]*account, len(limits))
 	for name, l := range limits {
 		if !l.enabled() {
@@ -77,39 +77,39 @@
 		}
 		l = l.withMinBurst()
 		id := prefix.NameHash(name)
-		names[name] = id
-		a := b.accounts[id]
+		ids[name] = id
+		a := lim.accounts[id]
 		if a == nil {
-			a = b.newAccount(name, l, now)
+			a = lim.newAccount(name, l, now)
 		}
-		b.refresh(a, now)
-		b.changeLimit(a, l)
+		lim.refresh(a, now)
+		lim.changeLimit(a, l)
 		accounts[id] = a
 	}
-	b.ids, b.accounts = names, accounts
+	lim.ids, lim.accounts = ids, accounts
 }
 
 // SetMembers sets how many processes serve, this one included.
-func (b *Limiter) SetMembers(n int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.members = max(1, n)
+func (lim *Limiter) SetMembers(n int) {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	lim.members = max(1, n)
 }
 
 // SetRecentMembers sets how many processes there have been lately.
-func (b *Limiter) SetRecentMembers(n int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.recentMembers = n
+func (lim *Limiter) SetRecentMembers(n int) {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	lim.recentMembers = n
 }
 
 // expectedProcesses returns how many processes may be there: one that has just started knows of
 // few yet. The caller holds mu.
-func (b *Limiter) expectedProcesses(now time.Time) int {
-	if b.warmingUp(now) {
-		return max(b.members, b.recentMembers)
+func (lim *Limiter) expectedProcesses(now time.Time) int {
+	if lim.warmingUp(now) {
+		return max(lim.members, lim.recentMembers)
 	}
-	return b.members
+	return lim.members
 }
 
 // Charge is what one request counts at its customer's account; a nil Charge is that
@@ -122,28 +122,28 @@
 }
 
 // Admit lets one request of a customer in, or returns false and when to come back.
-func (b *Limiter) Admit(customer string, size Size, now time.Time) (charge *Charge, wait time.Duration, ok bool) {
-	if b.disabled[policy.CustomerLimits] {
+func (lim *Limiter) Admit(customer string, size Size, now time.Time) (charge *Charge, wait time.Duration, ok bool) {
+	if lim.disabled[policy.CustomerLimits] {
 		return nil, 0, true
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	id, limited := b.ids[customer]
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	id, limited := lim.ids[customer]
 	if !limited {
 		return nil, 0, true
 	}
-	a := b.accounts[id]
-	b.refresh(a, now)
+	a := lim.accounts[id]
+	lim.refresh(a, now)
 	cost := a.limit.cost(size)
 	a.addDemand(cost)
-	room := b.capacity(a, cost, now)
-	if !room.available {
-		wait = a.refuse(cost, room)
-		b.recordRefusal(a, now)
+	c := lim.capacity(a, cost, now)
+	if !c.available {
+		wait = a.refuse(cost, c)
+		lim.recordRefusal(a, now)
 		return nil, wait, false
 	}
 	a.admit(cost)
-	return &Charge{limiter: b, id: id, cost: cost, executions: 1}, 0, true
+	return &Charge{limiter: lim, id: id, cost: cost, executions: 1}, 0, true
 }
 
 // SetExecutions sets how many of the request's sends may have run or may yet run: each counts
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -9,11 +9,11 @@
 	"acaciakeel/prefix"
 )
 
-var begin = time.Unix(1000, 0)
+var testStart = time.Unix(1000, 0)
 
-// book returns the book of one process that has been there for long, of so many.
-func book(members int) *Limiter {
-	b := NewLimiter(Tolerance{Window: 8 * time.Second}, nil, func() bool { return true }, begin.Add(-time.Minute))
+// newTestLimiter returns the newTestLimiter of one process that has been there for long, of so many.
+func newTestLimiter(members int) *Limiter {
+	b := NewLimiter(Tolerance{Window: 8 * time.Second}, nil, func() bool { return true }, testStart.Add(-time.Minute))
 	b.SetMembers(members)
 	return b
 }
@@ -33,23 +33,23 @@
 }
 
 // Guards against customers that pay for what never ran, or run twice for once.
-func TestChargeFollowsWhatRan(t *testing.T) {
-	b := book(1)
-	b.SetLimits(limits(Limit{Rate: 100, Burst: 1000, Unit: Tokens}), begin)
-	charge, _, ok := b.Admit("c", tokens(300), begin)
+func TestChargeFollowsExecutions(t *testing.T) {
+	b := newTestLimiter(1)
+	b.SetLimits(limits(Limit{Rate: 100, Burst: 1000, Unit: Tokens}), testStart)
+	charge, _, ok := b.Admit("c", tokens(300), testStart)
 	if !ok {
 		t.Fatal("refused within the limit")
 	}
 	for _, step := range []struct{ ran, left int }{{1, 700}, {2, 400}, {0, 1000}} {
 		charge.SetExecutions(step.ran)
-		if got := left(t, b, begin); got != float64(step.left) {
+		if got := left(t, b, testStart); got != float64(step.left) {
 			t.Errorf("after %d runs %v are left, want %d", step.ran, got, step.left)
 		}
 	}
 }
 
 // Guards against requests that count nothing because they hide their size.
-func TestNoSizeIsFree(t *testing.T) {
+func TestRequestWithoutSizeIsCharged(t *testing.T) {
 	l := Limit{Rate: 100, Burst: 1000, Unit: Tokens, DefaultTokens: 200}
 	for _, c := range []struct {
 		size Size
@@ -66,7 +66,7 @@
 }
 
 // Guards against figures that no limit can mean.
-func TestOddLimitsAreFound(t *testing.T) {
+func TestInvalidLimitsAreRejected(t *testing.T) {
 	good := Limit{Rate: 1, Burst: 2, Unit: Requests}
 	if err := good.Check(); err != nil {
 		t.Error(err)
@@ -79,68 +79,68 @@
 }
 
 // Guards against a full burst anew at each process of many that were killed together.
-func TestProcessesThatStartBringNoBurst(t *testing.T) {
+func TestStartingProcessHasNoBurst(t *testing.T) {
 	l := Limit{Rate: 100, Burst: 1000, Unit: Tokens}
-	b := NewLimiter(Tolerance{}, nil, func() bool { return true }, begin)
+	b := NewLimiter(Tolerance{}, nil, func() bool { return true }, testStart)
 	b.SetRecentMembers(4)
-	b.SetLimits(limits(l), begin)
-	if _, wait, ok := b.Admit("c", tokens(50), begin); ok || wait < 200*time.Millisecond {
+	b.SetLimits(limits(l), testStart)
+	if _, wait, ok := b.Admit("c", tokens(50), testStart); ok || wait < 200*time.Millisecond {
 		t.Errorf("let in %v with nothing saved up, told to come back after %v", ok, wait)
 	}
 	// It expects three others, whose parts of the limit are not its own.
-	if got := left(t, b, begin.Add(800*time.Millisecond)); got != 20 {
+	if got := left(t, b, testStart.Add(800*time.Millisecond)); got != 20 {
 		t.Errorf("%v are left after 0.8 s, want a quarter of 80", got)
 	}
-	b.ApplyPeerUpdate(UsageUpdate{Sender: "old", Uptime: time.Hour, Reports: []UsageReport{{Customer: b.ids["c"], Total: 5000, Level: 600}}}, begin.Add(800*time.Millisecond))
-	if got := left(t, b, begin.Add(800*time.Millisecond)); got != 600 {
+	b.ApplyPeerUpdate(UsageUpdate{Sender: "old", Uptime: time.Hour, Reports: []UsageReport{{Customer: b.ids["c"], Total: 5000, Level: 600}}}, testStart.Add(800*time.Millisecond))
+	if got := left(t, b, testStart.Add(800*time.Millisecond)); got != 600 {
 		t.Errorf("%v are left, want the 600 that a process knows that was there before", got)
 	}
 }
 
 // Guards against limits that hold at each process alone.
-func TestWhatOthersLetInCounts(t *testing.T) {
-	a, b := book(2), book(2)
+func TestPeerUsageCounts(t *testing.T) {
+	a, b := newTestLimiter(2), newTestLimiter(2)
 	l := Limit{Rate: 100, Burst: 1000, Unit: Tokens}
-	a.SetLimits(limits(l), begin)
-	b.SetLimits(limits(l), begin)
-	tell := func(from, to *Limiter, name string, now time.Time) {
+	a.SetLimits(limits(l), testStart)
+	b.SetLimits(limits(l), testStart)
+	send := func(from, to *Limiter, name string, now time.Time) {
 		n := from.PeerUpdate(now)
 		n.Sender = name
 		to.ApplyPeerUpdate(n, now)
 	}
-	tell(a, b, "a", begin)
-	tell(b, a, "b", begin)
-	a.Admit("c", tokens(900), begin)
-	tell(a, b, "a", begin)
-	if got := left(t, b, begin); got != 100 {
+	send(a, b, "a", testStart)
+	send(b, a, "b", testStart)
+	a.Admit("c", tokens(900), testStart)
+	send(a, b, "a", testStart)
+	if got := left(t, b, testStart); got != 100 {
 		t.Errorf("the other knows of %v left, want 100", got)
 	}
-	b.Admit("c", tokens(400), begin)
-	tell(b, a, "b", begin)
-	if _, _, ok := a.Admit("c", tokens(1), begin); ok {
+	b.Admit("c", tokens(400), testStart)
+	send(b, a, "b", testStart)
+	if _, _, ok := a.Admit("c", tokens(1), testStart); ok {
 		t.Error("let in though the other has spent the rest")
 	}
 }
 
 // Guards against use that is never counted because the datagram that told of it was lost.
-func TestLostWordsAreMadeGood(t *testing.T) {
-	a, b := book(2), book(2)
+func TestLostUpdatesAreRecovered(t *testing.T) {
+	a, b := newTestLimiter(2), newTestLimiter(2)
 	for _, book := range []*Limiter{a, b} {
-		book.SetLimits(limits(Limit{Rate: 100, Burst: 1000, Unit: Tokens}), begin)
+		book.SetLimits(limits(Limit{Rate: 100, Burst: 1000, Unit: Tokens}), testStart)
 	}
-	heard := func(at time.Duration) UsageUpdate {
-		n := a.PeerUpdate(begin.Add(at))
+	update := func(at time.Duration) UsageUpdate {
+		n := a.PeerUpdate(testStart.Add(at))
 		n.Sender = "a"
 		return n
 	}
-	b.ApplyPeerUpdate(heard(0), begin)
-	a.Admit("c", tokens(300), begin)
-	b.ApplyPeerUpdate(heard(100*time.Millisecond), begin.Add(100*time.Millisecond))
-	a.Admit("c", tokens(200), begin.Add(200*time.Millisecond))
-	heard(200 * time.Millisecond) // lost
-	a.Admit("c", tokens(200), begin.Add(300*time.Millisecond))
-	b.ApplyPeerUpdate(heard(300*time.Millisecond), begin.Add(300*time.Millisecond))
-	if got := left(t, b, begin.Add(300*time.Millisecond)); got != 320 {
+	b.ApplyPeerUpdate(update(0), testStart)
+	a.Admit("c", tokens(300), testStart)
+	b.ApplyPeerUpdate(update(100*time.Millisecond), testStart.Add(100*time.Millisecond))
+	a.Admit("c", tokens(200), testStart.Add(200*time.Millisecond))
+	update(200 * time.Millisecond) // lost
+	a.Admit("c", tokens(200), testStart.Add(300*time.Millisecond))
+	b.ApplyPeerUpdate(update(300*time.Millisecond), testStart.Add(300*time.Millisecond))
+	if got := left(t, b, testStart.Add(300*time.Millisecond)); got != 320 {
 		t.Errorf("%v left, want 1000 less 700, and 20 that came since the first was heard", got)
 	}
 }
@@ -148,26 +148,26 @@
 // Guards against a lower limit that begins with a burst of the former one, and against
 // one that refuses all for long because of what was sent before.
 func TestChangedLimits(t *testing.T) {
-	b := book(1)
-	b.SetLimits(limits(Limit{Rate: 1000, Burst: 1000, Unit: Tokens}), begin)
-	b.Admit("c", tokens(1200), begin)
-	b.SetLimits(limits(Limit{Rate: 100, Burst: 100, Unit: Tokens}), begin)
-	if got := left(t, b, begin); got != -20 {
+	b := newTestLimiter(1)
+	b.SetLimits(limits(Limit{Rate: 1000, Burst: 1000, Unit: Tokens}), testStart)
+	b.Admit("c", tokens(1200), testStart)
+	b.SetLimits(limits(Limit{Rate: 100, Burst: 100, Unit: Tokens}), testStart)
+	if got := left(t, b, testStart); got != -20 {
 		t.Errorf("%v left under a tenth of the limit, want a tenth of -200", got)
 	}
-	b.SetLimits(nil, begin)
-	if _, _, ok := b.Admit("c", tokens(1e6), begin); !ok {
+	b.SetLimits(nil, testStart)
+	if _, _, ok := b.Admit("c", tokens(1e6), testStart); !ok {
 		t.Error("refused without a limit")
 	}
 }
 
 // Guards against a part of the processes that lets in what is the others' part.
-func TestPartOfTheLimitOfThoseUnheard(t *testing.T) {
+func TestUnreachableProcessesKeepTheirShare(t *testing.T) {
 	leased := true
-	b := NewLimiter(Tolerance{}, nil, func() bool { return leased }, begin.Add(-time.Minute))
+	b := NewLimiter(Tolerance{}, nil, func() bool { return leased }, testStart.Add(-time.Minute))
 	b.SetMembers(4)
-	b.SetLimits(limits(Limit{Rate: 100, Burst: 1000, Unit: Tokens}), begin)
-	part := func() float64 { return b.State(begin.Add(time.Second)).LimitFraction }
+	b.SetLimits(limits(Limit{Rate: 100, Burst: 1000, Unit: Tokens}), testStart)
+	part := func() float64 { return b.State(testStart.Add(time.Second)).LimitFraction }
 	if got := part(); got != 0.25 {
 		t.Errorf("alone of four it has %v of the limit", got)
 	}
@@ -175,50 +175,50 @@
 	if got := part(); got != 0 {
 		t.Errorf("alone and counted out it has %v of the limit", got)
 	}
-	b.ApplyPeerUpdate(UsageUpdate{Sender: "x"}, begin.Add(time.Second))
+	b.ApplyPeerUpdate(UsageUpdate{Sender: "x"}, testStart.Add(time.Second))
 	if got := part(); got != 0.5 {
 		t.Errorf("half of them have %v of the limit without the store", got)
 	}
 }
 
 // Guards against an operator who can't see who is over a limit.
-func TestChangesTellWhoIsOver(t *testing.T) {
-	b := book(1)
-	b.SetLimits(limits(Limit{Rate: 10, Burst: 10, Unit: Requests}), begin)
+func TestChangesReportOverLimit(t *testing.T) {
+	b := newTestLimiter(1)
+	b.SetLimits(limits(Limit{Rate: 10, Burst: 10, Unit: Requests}), testStart)
 	for range 12 {
-		b.Admit("c", Size{}, begin)
+		b.Admit("c", Size{}, testStart)
 	}
-	got := b.Changes(begin)
+	got := b.Changes(testStart)
 	if len(got) != 1 || !got[0].Over || got[0].Customer != "c" {
 		t.Fatalf("changes %+v", got)
 	}
-	if got = b.Changes(begin.Add(overLimitHold + time.Second)); len(got) != 1 || got[0].Over {
+	if got = b.Changes(testStart.Add(overLimitHold + time.Second)); len(got) != 1 || got[0].Over {
 		t.Errorf("changes after it kept within: %+v", got)
 	}
 }
 
 // Guards against a limit without a burst, which lets nothing in, and against units that
 // change while totals in the former are under way.
-func TestOddChangesKeepNobodyOut(t *testing.T) {
-	b := book(1)
-	b.SetLimits(limits(Limit{Rate: 10, Unit: Requests}), begin)
-	if _, _, ok := b.Admit("c", Size{}, begin.Add(time.Second)); !ok {
+func TestLimitChangesDoNotBlockCustomers(t *testing.T) {
+	b := newTestLimiter(1)
+	b.SetLimits(limits(Limit{Rate: 10, Unit: Requests}), testStart)
+	if _, _, ok := b.Admit("c", Size{}, testStart.Add(time.Second)); !ok {
 		t.Error("a limit of ten a second without a burst lets nothing in")
 	}
-	b.ApplyPeerUpdate(UsageUpdate{Sender: "x", Reports: []UsageReport{{Customer: b.ids["c"], Total: 90_000, Increase: 90_000}}}, begin.Add(time.Second))
-	if _, _, ok := b.Admit("c", Size{}, begin.Add(3*time.Second)); !ok {
+	b.ApplyPeerUpdate(UsageUpdate{Sender: "x", Reports: []UsageReport{{Customer: b.ids["c"], Total: 90_000, Increase: 90_000}}}, testStart.Add(time.Second))
+	if _, _, ok := b.Admit("c", Size{}, testStart.Add(3*time.Second)); !ok {
 		t.Error("tokens of the unit before keep a customer out for hours")
 	}
 }
 
 // Guards against a time to come back that is far too long: what others may have let in
 // unheard does not keep a process's own slice closed.
-func TestWaitIsThatOfTheSlice(t *testing.T) {
-	b := book(2)
+func TestRetryAfterFollowsSlice(t *testing.T) {
+	b := newTestLimiter(2)
 	b.Stagger(1000, rand.New(rand.NewPCG(1, 1)))
-	b.SetLimits(limits(Limit{Rate: 1000, Burst: 1000, Unit: Tokens}), begin)
+	b.SetLimits(limits(Limit{Rate: 1000, Burst: 1000, Unit: Tokens}), testStart)
 	other := UsageUpdate{Sender: "other", Uptime: time.Minute, Processes: 1, Reports: []UsageReport{{Customer: prefix.NameHash("c"), Demand: 50_000}}}
-	one, now := tokens(1000), begin
+	one, now := tokens(1000), testStart
 	for range 20 {
 		now = now.Add(50 * time.Millisecond)
 		b.ApplyPeerUpdate(other, now)
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -14,169 +14,169 @@
 	"acaciakeel/policy"
 )
 
-// deployment plays one customer's requests at many processes in virtual time. They tell
+// simulation plays one customer's requests at many processes in virtual time. They tell
 // each other by datagrams that are late or lost, and learn by a store who is there.
-type deployment struct {
-	bounds Tolerance
-	off    policy.Disabled
-	limit  Limit
-	rand   *rand.Rand
-	now    time.Duration
-	hosts  []*host
-	pulse  time.Duration
-	late   time.Duration
-	loss   float64
-	// mail is what arrives, by the step.
-	mail   map[time.Duration][]letter
-	ledger []entry
-	// ask grows by the requests that are due; each takes an exponential amount of it.
-	ask float64
-	// exact is what a customer's bucket holds that all processes share.
-	exact   float64
-	exactAt time.Duration
-	within  struct{ asked, refused float64 }
-	// fixed has all requests be of the mean size.
-	fixed bool
+type simulation struct {
+	bounds        Tolerance
+	off           policy.Disabled
+	limit         Limit
+	rand          *rand.Rand
+	now           time.Duration
+	processes     []*process
+	pulseInterval time.Duration
+	meanDelay     time.Duration
+	lossRate      float64
+	// inFlight is what arrives, by the step.
+	inFlight   map[time.Duration][]message
+	admissions []admission
+	// dueRequests grows by the requests that are due; each takes an exponential amount of it.
+	dueRequests float64
+	// exactLevel is what a customer's bucket holds that all processes share.
+	exactLevel     float64
+	exactUpdatedAt time.Duration
+	conforming     struct{ asked, refused float64 }
+	// fixedSize has all requests be of the mean size.
+	fixedSize bool
 }
 
-type host struct {
-	book    *Limiter
-	name    string
-	group   int
-	weight  float64
-	next    time.Duration
-	downTil time.Duration
-	cutTil  time.Duration
+type process struct {
+	limiter          *Limiter
+	name             string
+	group            int
+	weight           float64
+	nextPulse        time.Duration
+	downUntil        time.Duration
+	partitionedUntil time.Duration
 	// mute: what it tells is lost, while it hears the others.
-	muteTil time.Duration
-	lease   time.Duration
-	// former is the lease of its start before.
-	former time.Duration
+	sendLossUntil time.Duration
+	leaseUntil    time.Duration
+	// formerLeaseUntil is the lease of its start before.
+	formerLeaseUntil time.Duration
 }
 
-type letter struct {
-	to      *host
-	news    UsageUpdate
+type message struct {
+	to      *process
+	update  UsageUpdate
 	group   int
 	relayed bool
 }
 
-type entry struct {
+type admission struct {
 	at   time.Duration
 	cost float64
 }
 
 const (
-	modelLease = 2 * time.Second
-	modelNews  = 400 * time.Millisecond
+	simLease         = 2 * time.Second
+	simStoreInterval = 400 * time.Millisecond
 )
 
-var modelStart = time.Unix(1_000_000, 0)
+var simStart = time.Unix(1_000_000, 0)
 
-func (d *deployment) clock() time.Time { return modelStart.Add(d.now) }
+func (d *simulation) clock() time.Time { return simStart.Add(d.now) }
 
-func newDeployment(n int, l Limit, off policy.Disabled, seed uint64) *deployment {
-	d := &deployment{
+func newSimulation(n int, l Limit, off policy.Disabled, seed uint64) *simulation {
+	d := &simulation{
 		bounds: Tolerance{Window: 8 * time.Second, Overrun: 0.1, Slack: 72_000}, off: off, limit: l,
-		mail: map[time.Duration][]letter{}, rand: rand.New(rand.NewPCG(seed, 7)), pulse: max(50, time.Duration(5*min(n, 25))) * time.Millisecond, late: 15 * time.Millisecond, exact: l.Burst,
+		inFlight: map[time.Duration][]message{}, rand: rand.New(rand.NewPCG(seed, 7)), pulseInterval: max(50, time.Duration(5*min(n, 25))) * time.Millisecond, meanDelay: 15 * time.Millisecond, exactLevel: l.Burst,
 	}
 	for range n {
-		h := &host{weight: 1}
-		d.hosts = append(d.hosts, h)
-		d.startHost(h, n)
+		h := &process{weight: 1}
+		d.processes = append(d.processes, h)
+		d.startProcess(h, n)
 	}
 	return d
 }
 
-func (d *deployment) startHost(h *host, hint int) {
-	h.former = h.lease
+func (d *simulation) startProcess(h *process, members int) {
+	h.formerLeaseUntil = h.leaseUntil
 	h.name = string(rune(d.rand.Uint32()%100_000)) + d.now.String()
-	h.lease = d.now + modelLease
-	h.book = NewLimiter(d.bounds, d.off, func() bool { return d.now < h.lease }, d.clock())
-	h.book.SetMembers(hint)
-	h.book.SetLimits(map[string]Limit{"c": d.limit}, d.clock())
-	h.next = d.now + time.Duration(d.rand.Int64N(int64(d.pulse)))
+	h.leaseUntil = d.now + simLease
+	h.limiter = NewLimiter(d.bounds, d.off, func() bool { return d.now < h.leaseUntil }, d.clock())
+	h.limiter.SetMembers(members)
+	h.limiter.SetLimits(map[string]Limit{"c": d.limit}, d.clock())
+	h.nextPulse = d.now + time.Duration(d.rand.Int64N(int64(d.pulseInterval)))
 }
 
-func (d *deployment) up(h *host) bool { return d.now >= h.downTil }
+func (d *simulation) up(h *process) bool { return d.now >= h.downUntil }
 
-// reaches reports whether a datagram gets from one host to another.
-func (d *deployment) reaches(from, to *host) bool {
-	return d.up(from) && d.up(to) && d.now >= from.cutTil && d.now >= to.cutTil && d.now >= from.muteTil && d.rand.Float64() >= d.loss
+// delivers reports whether a datagram gets from one host to another.
+func (d *simulation) delivers(from, to *process) bool {
+	return d.up(from) && d.up(to) && d.now >= from.partitionedUntil && d.now >= to.partitionedUntil && d.now >= from.sendLossUntil && d.rand.Float64() >= d.lossRate
 }
 
-const modelStep = 5 * time.Millisecond
+const simStep = 5 * time.Millisecond
 
 // run plays for a while; demand is what is asked a second, size the mean of a request.
-func (d *deployment) run(length time.Duration, demand, size float64) {
-	for end := d.now + length; d.now < end; d.now += modelStep {
-		d.store()
+func (d *simulation) run(length time.Duration, demand, size float64) {
+	for end := d.now + length; d.now < end; d.now += simStep {
+		d.updateMembership()
 		d.deliver()
-		for _, h := range d.hosts {
-			if d.up(h) && d.now >= h.next {
-				h.next = d.now + d.pulse
-				d.tell(h)
+		for _, h := range d.processes {
+			if d.up(h) && d.now >= h.nextPulse {
+				h.nextPulse = d.now + d.pulseInterval
+				d.sendUpdates(h)
 			}
 		}
-		for d.ask += demand / size * modelStep.Seconds(); d.ask > 0; d.ask -= d.rand.ExpFloat64() {
+		for d.dueRequests += demand / size * simStep.Seconds(); d.dueRequests > 0; d.dueRequests -= d.rand.ExpFloat64() {
 			d.request(size)
 		}
 	}
 }
 
-// store has each host that reaches it know who is there, and keep its lease.
-func (d *deployment) store() {
-	for _, h := range d.hosts {
-		if d.up(h) && d.now >= h.cutTil {
-			h.lease = d.now + modelLease
+// updateMembership has each host that reaches it know who is there, and keep its lease.
+func (d *simulation) updateMembership() {
+	for _, h := range d.processes {
+		if d.up(h) && d.now >= h.partitionedUntil {
+			h.leaseUntil = d.now + simLease
 		}
 	}
 	there, starts := 0, 0
-	for _, h := range d.hosts {
-		if d.now < h.lease+modelNews {
+	for _, h := range d.processes {
+		if d.now < h.leaseUntil+simStoreInterval {
 			there++
 		}
-		if d.now < h.former {
+		if d.now < h.formerLeaseUntil {
 			starts++
 		}
 	}
 	// Starts that have ended are members until their leases lapse.
 	groups := (there + starts + 24) / 25
-	for i, h := range d.hosts {
-		h.group = i * groups / len(d.hosts)
+	for i, h := range d.processes {
+		h.group = i * groups / len(d.processes)
 	}
-	for _, h := range d.hosts {
-		if d.up(h) && d.now >= h.cutTil && d.now%(modelNews) < modelStep {
-			h.book.SetMembers(there)
+	for _, h := range d.processes {
+		if d.up(h) && d.now >= h.partitionedUntil && d.now%(simStoreInterval) < simStep {
+			h.limiter.SetMembers(there)
 		}
 	}
 }
 
-func (d *deployment) tell(h *host) {
-	news := h.book.PeerUpdate(d.clock())
+func (d *simulation) sendUpdates(h *process) {
+	news := h.limiter.PeerUpdate(d.clock())
 	news.Sender = h.name
-	for _, to := range d.hosts {
-		if to != h && to.group == h.group && d.reaches(h, to) {
-			d.post(letter{to: to, news: news, group: -1})
+	for _, to := range d.processes {
+		if to != h && to.group == h.group && d.delivers(h, to) {
+			d.send(message{to: to, update: news, group: -1})
 		}
 	}
-	for group := range d.hosts[len(d.hosts)-1].group + 1 {
-		if group != h.group && d.first(h.group, h) {
-			news := h.book.GroupUpdate(group, d.clock())
+	for group := range d.processes[len(d.processes)-1].group + 1 {
+		if group != h.group && d.isFirst(h.group, h) {
+			news := h.limiter.GroupUpdate(group, d.clock())
 			news.Sender = h.name
-			if to := d.firstOf(group); to != nil && d.reaches(h, to) {
-				d.post(letter{to: to, news: news, group: h.group})
+			if to := d.firstProcess(group); to != nil && d.delivers(h, to) {
+				d.send(message{to: to, update: news, group: h.group})
 			}
 		}
 	}
 }
 
-func (d *deployment) latency() time.Duration {
-	return d.late/2 + time.Duration(d.rand.Int64N(int64(d.late)))
+func (d *simulation) latency() time.Duration {
+	return d.meanDelay/2 + time.Duration(d.rand.Int64N(int64(d.meanDelay)))
 }
 
-func (d *deployment) firstOf(group int) *host {
-	for _, h := range d.hosts {
+func (d *simulation) firstProcess(group int) *process {
+	for _, h := range d.processes {
 		if h.group == group && d.up(h) {
 			return h
 		}
@@ -184,71 +184,71 @@
 	return nil
 }
 
-func (d *deployment) first(group int, h *host) bool { return d.firstOf(group) == h }
+func (d *simulation) isFirst(group int, h *process) bool { return d.firstProcess(group) == h }
 
-// post has a letter arrive after a while.
-func (d *deployment) post(l letter) {
-	at := (d.now + d.latency()).Truncate(modelStep) + modelStep
-	d.mail[at] = append(d.mail[at], l)
+// send has a letter arrive after a while.
+func (d *simulation) send(l message) {
+	at := (d.now + d.latency()).Truncate(simStep) + simStep
+	d.inFlight[at] = append(d.inFlight[at], l)
 }
 
-func (d *deployment) deliver() {
-	for _, l := range d.mail[d.now] {
+func (d *simulation) deliver() {
+	for _, l := range d.inFlight[d.now] {
 		switch {
 		case !d.up(l.to):
 		case l.group < 0:
-			l.to.book.ApplyPeerUpdate(l.news, d.clock())
+			l.to.limiter.ApplyPeerUpdate(l.update, d.clock())
 		default:
-			l.to.book.ApplyGroupUpdate(l.group, l.news, d.clock())
-			d.passOn(l)
+			l.to.limiter.ApplyGroupUpdate(l.group, l.update, d.clock())
+			d.relay(l)
 		}
 	}
-	delete(d.mail, d.now)
+	delete(d.inFlight, d.now)
 }
 
-// passOn tells a group what another one told its first member.
-func (d *deployment) passOn(l letter) {
-	for _, to := range d.hosts {
-		if !l.relayed && to != l.to && to.group == l.to.group && d.reaches(l.to, to) {
-			d.post(letter{to: to, news: l.news, group: l.group, relayed: true})
+// relay tells a group what another one told its first member.
+func (d *simulation) relay(l message) {
+	for _, to := range d.processes {
+		if !l.relayed && to != l.to && to.group == l.to.group && d.delivers(l.to, to) {
+			d.send(message{to: to, update: l.update, group: l.group, relayed: true})
 		}
 	}
 }
 
 // request asks for one request at a host by weight.
-func (d *deployment) request(size float64) {
+func (d *simulation) request(size float64) {
 	cost := math.Round(min(4*size, size*math.Exp(d.rand.NormFloat64()*0.7-0.245)))
-	if d.fixed {
+	if d.fixedSize {
 		cost = size
 	}
-	h := d.pick()
+	h := d.pickProcess()
 	if h == nil {
 		return
 	}
-	d.exact = min(d.limit.Burst, d.exact+d.limit.Rate*(d.now-d.exactAt).Seconds())
-	d.exactAt = d.now
-	fits := d.exact >= cost
+	d.exactLevel = min(d.limit.Burst, d.exactLevel+d.limit.Rate*(d.now-d.exactUpdatedAt).Seconds())
+	d.exactUpdatedAt = d.now
+	fits := d.exactLevel >= cost
 	if fits {
-		d.exact -= cost
-		d.within.asked += cost
+		d.exactLevel -= cost
+		d.conforming.asked += cost
 	}
-	_, _, ok := h.book.Admit("c", Size{Tokens: int(cost), Known: true}, d.clock())
+	_, _, ok := h.limiter.Admit("c", Size{Tokens: int(cost), Known: true}, d.clock())
 	if ok {
-		d.ledger = append(d.ledger, entry{d.now, cost})
+		d.admissions = append(d.admissions, admission{d.now, cost})
 	} else if fits {
-		d.within.refused += cost
+		d.conforming.refused += cost
 	}
 }
 
-func (d *deployment) pick() *host {
+func (d *simulation) pickProcess() *process {
 	all := 0.0
-	for _, h := range d.hosts {
+	for _, h := range d.processes {
 		if d.up(h) {
 			all += h.weight
 		}
 	}
 	at := d.rand.Float64() * all
-	for _, h := range d.hosts {
+	for _, h := range d.processes {
 		if !d.up(h) {
 			continue
 		}
@@ -259,24 +259,24 @@
 	return nil
 }
 
-// most returns the most that was let in in any window from a moment on, as a part of
+// maxWindowUse returns the maxWindowUse that was let in in any window from a moment on, as a part of
 // what the rule allows under a limit.
-func (d *deployment) most(l Limit, from time.Duration) float64 {
+func (d *simulation) maxWindowUse(l Limit, from time.Duration) float64 {
 	most, sum, first := 0.0, 0.0, 0
-	for i, e := range d.ledger {
+	for i, e := range d.admissions {
 		sum += e.cost
-		for ; d.ledger[first].at < e.at-d.bounds.Window; first++ {
-			sum -= d.ledger[first].cost
+		for ; d.admissions[first].at < e.at-d.bounds.Window; first++ {
+			sum -= d.admissions[first].cost
 		}
-		if first <= i && d.ledger[first].at >= from {
+		if first <= i && d.admissions[first].at >= from {
 			most = max(most, sum)
 		}
 	}
 	return most / (l.Rate*d.bounds.Window.Seconds() + l.Burst + d.bounds.margin(l))
 }
 
-// The ways that are compared, by what is switched off.
-var ways = []struct {
+// The variants that are compared, by what is switched off.
+var variants = []struct {
 	name string
 	off  policy.Disabled
 }{
@@ -286,108 +286,108 @@
 	{"paced", nil},
 }
 
-type load struct {
+type scenario struct {
 	name string
-	play func(d *deployment, r float64)
+	run  func(d *simulation, r float64)
 }
 
 const meanRequest = 9200
 
-// loads are the patterns; a customer asks for 0.55 of its limit as a rule.
-var loads = []load{
-	{"within its limit", func(d *deployment, r float64) { d.run(30*time.Second, 0.55*r, meanRequest) }},
-	{"within, four connections", func(d *deployment, r float64) {
+// scenarios are the patterns; a customer asks for 0.55 of its limit as a rule.
+var scenarios = []scenario{
+	{"within its limit", func(d *simulation, r float64) { d.run(30*time.Second, 0.55*r, meanRequest) }},
+	{"within, four connections", func(d *simulation, r float64) {
 		for range 6 {
 			d.connections(4)
 			d.run(5*time.Second, 0.55*r, meanRequest)
 		}
 	}},
-	{"eight times its usual", func(d *deployment, r float64) {
+	{"eight times its usual", func(d *simulation, r float64) {
 		d.run(5*time.Second, 0.55*r, meanRequest)
 		d.run(20*time.Second, 4.4*r, meanRequest)
 	}},
-	{"eight times, four connections", func(d *deployment, r float64) {
+	{"eight times, four connections", func(d *simulation, r float64) {
 		d.connections(4)
 		d.run(20*time.Second, 4.4*r, meanRequest)
 	}},
-	{"eight times, all killed twice", func(d *deployment, r float64) {
+	{"eight times, all killed twice", func(d *simulation, r float64) {
 		d.run(10*time.Second, 4.4*r, meanRequest)
 		for range 2 {
-			d.kill(len(d.hosts), 0)
+			d.restart(len(d.processes), 0)
 			d.run(5*time.Second, 4.4*r, meanRequest)
 		}
 	}},
-	{"eight times, rolled", func(d *deployment, r float64) {
-		for i := range d.hosts {
-			d.kill(1, i)
+	{"eight times, rolled", func(d *simulation, r float64) {
+		for i := range d.processes {
+			d.restart(1, i)
 			d.run(time.Second, 4.4*r, meanRequest)
 		}
 	}},
-	{"eight times, a third cut off", func(d *deployment, r float64) {
+	{"eight times, a third cut off", func(d *simulation, r float64) {
 		d.run(5*time.Second, 0.2*r, meanRequest)
-		d.cut(len(d.hosts)/3, 6*time.Second)
+		d.partition(len(d.processes)/3, 6*time.Second)
 		d.run(12*time.Second, 4.4*r, meanRequest)
 	}},
-	{"within, a third cut off", func(d *deployment, r float64) {
-		d.cut(len(d.hosts)/3, 6*time.Second)
+	{"within, a third cut off", func(d *simulation, r float64) {
+		d.partition(len(d.processes)/3, 6*time.Second)
 		d.run(12*time.Second, 0.55*r, meanRequest)
 	}},
-	{"within, half killed", func(d *deployment, r float64) {
+	{"within, half killed", func(d *simulation, r float64) {
 		d.run(5*time.Second, 0.55*r, meanRequest)
-		d.kill(len(d.hosts)/2, 0)
+		d.restart(len(d.processes)/2, 0)
 		d.run(12*time.Second, 0.55*r, meanRequest)
 	}},
-	{"within, a few killed", func(d *deployment, r float64) {
+	{"within, a few killed", func(d *simulation, r float64) {
 		d.run(15*time.Second, 0.55*r, meanRequest)
 		for range 2 {
-			d.kill(4, 0)
+			d.restart(4, 0)
 			d.run(5*time.Second, 0.55*r, meanRequest)
 		}
 	}},
-	{"eight times, a third heard by nobody", func(d *deployment, r float64) {
-		for _, h := range d.hosts[:len(d.hosts)/3] {
-			h.muteTil = d.now + 8*time.Second
+	{"eight times, a third heard by nobody", func(d *simulation, r float64) {
+		for _, h := range d.processes[:len(d.processes)/3] {
+			h.sendLossUntil = d.now + 8*time.Second
 		}
 		d.run(12*time.Second, 4.4*r, meanRequest)
 	}},
-	{"eight times, news half a second late, one in twenty lost", func(d *deployment, r float64) {
-		d.late, d.loss = 500*time.Millisecond, 0.05
+	{"eight times, news half a second late, one in twenty lost", func(d *simulation, r float64) {
+		d.meanDelay, d.lossRate = 500*time.Millisecond, 0.05
 		d.run(20*time.Second, 4.4*r, meanRequest)
 	}},
 }
 
-func (d *deployment) connections(n int) {
-	for _, h := range d.hosts {
+func (d *simulation) connections(n int) {
+	for _, h := range d.processes {
 		h.weight = 0
 	}
 	for range n {
-		d.hosts[d.rand.IntN(len(d.hosts))].weight++
+		d.processes[d.rand.IntN(len(d.processes))].weight++
 	}
 }
 
-// kill has hosts from one on start anew a second later.
-func (d *deployment) kill(n, from int) {
-	for _, h := range d.hosts[from : from+n] {
-		h.downTil = d.now + time.Second
+// restart has hosts from one on start anew a second later.
+func (d *simulation) restart(n, from int) {
+	for _, h := range d.processes[from : from+n] {
+		h.downUntil = d.now + time.Second
 	}
 	before := d.now
 	d.run(time.Second, 0.5*d.limit.Rate, meanRequest)
 	d.now = max(d.now, before+time.Second)
-	for _, h := range d.hosts[from : from+n] {
-		d.startHost(h, len(d.hosts))
+	for _, h := range d.processes[from : from+n] {
+		d.startProcess(h, len(d.processes))
 	}
 }
 
-func (d *deployment) cut(n int, length time.Duration) {
-	for _, h := range d.hosts[:n] {
-		h.cutTil = d.now + length
+func (d *simulation) partition(n int, length time.Duration) {
+	for _, h := range d.processes[:n] {
+		h.partitionedUntil = d.now + length
 	}
 }
 
-// TestWays compares the ways on the same loads and seeds: the most that was let in in
+// TestLimitVariants compares the ways on the same loads and seeds: the most that was let in in
 // any window, of what the rule allows, and how much of what one exact count lets in was
 // refused.
-func TestWays(t *testing.T) {
+func TestLimitVariants(t *testing.T) {
 	datadriven.RunTest(t, "testdata/ways", func(t *testing.T, d *datadriven.TestData) string {
 		n, perSecond, only := 22, 150_000, ""
 		d.MaybeScanArgs(t, "processes", &n)
@@ -396,22 +396,22 @@
 		asked := strings.Split(strings.TrimSpace(d.Input), "\n")
 		r := float64(perSecond)
 		var out strings.Builder
-		for _, p := range loads {
+		for _, p := range scenarios {
 			if d.Input != "" && !slices.Contains(asked, p.name) {
 				continue
 			}
-			for _, w := range ways {
+			for _, w := range variants {
 				if only != "" && only != w.name {
 					continue
 				}
-				m := newDeployment(n, Limit{Rate: r, Burst: r, Unit: Tokens}, w.off, 1)
+				m := newSimulation(n, Limit{Rate: r, Burst: r, Unit: Tokens}, w.off, 1)
 				m.run(3*time.Second, 0.3*r, meanRequest)
-				p.play(m, r)
-				most := m.most(m.limit, 0)
+				p.run(m, r)
+				most := m.maxWindowUse(m.limit, 0)
 				if w.off == nil && most > 1 {
 					t.Errorf("%s: %.2f of what the rule allows was let in", p.name, most)
 				}
-				fmt.Fprintf(&out, "%-60s %-7s most %.2f, refused %.2f\n", p.name, w.name, most, m.within.refused/m.within.asked)
+				fmt.Fprintf(&out, "%-60s %-7s most %.2f, refused %.2f\n", p.name, w.name, most, m.conforming.refused/m.conforming.asked)
 			}
 		}
 		return out.String()
--- a/quota/peers.go
+++ b/quota/peers.go
@@ -58,9 +58,9 @@
 
 // reachableProcesses returns how many processes share what this one knows, itself included;
 // the caller holds mu.
-func (b *Limiter) reachableProcesses(now time.Time) int {
+func (lim *Limiter) reachableProcesses(now time.Time) int {
 	n := 1
-	for _, s := range b.senders {
+	for _, s := range lim.senders {
 		if s.reachable(now) {
 			n += s.processes
 		}
@@ -71,14 +71,14 @@
 // limitFraction returns which limitFraction of all limits is left to the processes that hear each other.
 // Those that are not heard, but may be there, keep theirs. One whom the others do not
 // count in any more has none by itself.
-func (b *Limiter) limitFraction(now time.Time) float64 {
-	reachable := b.reachableProcesses(now)
-	expected := b.expectedProcesses(now)
+func (lim *Limiter) limitFraction(now time.Time) float64 {
+	reachable := lim.reachableProcesses(now)
+	expected := lim.expectedProcesses(now)
 	if reachable >= expected {
 		return 1
 	}
 	fraction := float64(reachable) / float64(expected)
-	if fraction < quorumShare && !b.hasLease() && !b.warmingUp(now) {
+	if fraction < quorumShare && !lim.hasLease() && !lim.warmingUp(now) {
 		return 0
 	}
 	return fraction
@@ -129,15 +129,15 @@
 )
 
 // PeerUpdate returns what this process has to tell its peers now.
-func (b *Limiter) PeerUpdate(now time.Time) UsageUpdate {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.dropInactive(now)
-	out := UsageUpdate{Uptime: now.Sub(b.startedAt), Processes: b.reachableProcesses(now)}
-	for id, a := range b.accounts {
+func (lim *Limiter) PeerUpdate(now time.Time) UsageUpdate {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	lim.dropInactive(now)
+	out := UsageUpdate{Uptime: now.Sub(lim.startedAt), Processes: lim.reachableProcesses(now)}
+	for id, a := range lim.accounts {
 		reported := a.reported.total
-		if len(out.Reports) < maxReports && b.takeDue(a, &a.reported, a.admittedHere, now) {
-			b.refresh(a, now)
+		if len(out.Reports) < maxReports && lim.takeDue(a, &a.reported, a.admittedHere, now) {
+			lim.refresh(a, now)
 			out.Reports = append(out.Reports, UsageReport{Customer: id, Total: a.admittedHere, Increase: a.admittedHere - reported, Demand: a.demand, Level: a.level})
 		}
 	}
@@ -146,15 +146,15 @@
 
 // FullUpdate returns the same of all customers that were active lately, for a process that is
 // new.
-func (b *Limiter) FullUpdate(now time.Time) UsageUpdate {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := UsageUpdate{Uptime: now.Sub(b.startedAt), Processes: b.reachableProcesses(now)}
-	for id, a := range b.accounts {
+func (lim *Limiter) FullUpdate(now time.Time) UsageUpdate {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	out := UsageUpdate{Uptime: now.Sub(lim.startedAt), Processes: lim.reachableProcesses(now)}
+	for id, a := range lim.accounts {
 		if len(out.Reports) == maxReports {
 			break
 		}
-		b.refresh(a, now)
+		lim.refresh(a, now)
 		out.Reports = append(out.Reports, UsageReport{Customer: id, Total: a.admittedHere, Demand: a.demand, Level: a.level})
 	}
 	return out
@@ -163,10 +163,10 @@
 // takeDue reports whether an account's total is to be told now, and notes it as told. What
 // all processes together leave untold stays within half of the margin that covers what
 // is not heard.
-func (b *Limiter) takeDue(a *account, r *reportState, total float64, now time.Time) bool {
+func (lim *Limiter) takeDue(a *account, r *reportState, total float64, now time.Time) bool {
 	since := now.Sub(r.reportedAt)
 	unreported := math.Abs(total - r.total)
-	threshold := b.unreportedMargin(a) / 2 / float64(max(1, b.members))
+	threshold := lim.unreportedMargin(a) / 2 / float64(max(1, lim.members))
 	switch {
 	case unreported > threshold, unreported > 0 && since >= repeatInterval, r.refusedSince && since >= refusalReportInterval:
 		*r = reportState{total: total, reportedAt: now}
@@ -179,42 +179,42 @@
 }
 
 // ApplyPeerUpdate takes what a peer tells.
-func (b *Limiter) ApplyPeerUpdate(u UsageUpdate, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.peers[u.Sender]
+func (lim *Limiter) ApplyPeerUpdate(u UsageUpdate, now time.Time) {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	s := lim.peers[u.Sender]
 	if s == nil {
-		s = &sender{name: u.Sender, timeout: peerTimeout, startedLater: u.Uptime < now.Sub(b.startedAt)}
-		b.peers[u.Sender] = s
-		b.senders = append(b.senders, s)
+		s = &sender{name: u.Sender, timeout: peerTimeout, startedLater: u.Uptime < now.Sub(lim.startedAt)}
+		lim.peers[u.Sender] = s
+		lim.senders = append(lim.senders, s)
 	}
 	s.processes = 1
-	b.applyUpdate(s, u, now)
+	lim.applyUpdate(s, u, now)
 }
 
 // applyUpdate takes what a sender tells of customers. What one tells that was not heard for a
 // while was let in by its own part of the limit, which was left to it.
-func (b *Limiter) applyUpdate(s *sender, update UsageUpdate, now time.Time) {
+func (lim *Limiter) applyUpdate(s *sender, update UsageUpdate, now time.Time) {
 	if !s.lastReceived.IsZero() && !s.reachable(now) {
-		b.markPartitioned(s)
+		lim.markPartitioned(s)
 	}
-	s.recordArrival(update.Uptime, b.startedAt, now)
-	fraction := b.limitFraction(now)
+	s.recordArrival(update.Uptime, lim.startedAt, now)
+	fraction := lim.limitFraction(now)
 	for _, report := range update.Reports {
-		a := b.accounts[report.Customer]
+		a := lim.accounts[report.Customer]
 		if a == nil {
 			continue
 		}
 		a.refill(fraction, now)
-		b.adoptLevel(a, update, report, now)
+		lim.adoptLevel(a, update, report, now)
 		a.applyReport(s, report, now)
 	}
 }
 
 // markPartitioned notes that a sender was silent.
-func (b *Limiter) markPartitioned(s *sender) {
+func (lim *Limiter) markPartitioned(s *sender) {
 	s.startedLater = false
-	for _, a := range b.accounts {
+	for _, a := range lim.accounts {
 		if u := a.peerUsage[s]; u != nil {
 			u.partitioned = true
 		}
@@ -244,30 +244,30 @@
 
 // adoptLevel takes the level of a process that has been there for long where this one has
 // just started.
-func (b *Limiter) adoptLevel(a *account, update UsageUpdate, report UsageReport, now time.Time) {
+func (lim *Limiter) adoptLevel(a *account, update UsageUpdate, report UsageReport, now time.Time) {
 	if a.levelKnown || update.Uptime < warmUp {
 		return
 	}
 	a.levelKnown = true
-	if b.warmingUp(now) {
+	if lim.warmingUp(now) {
 		a.level = min(a.limit.Burst, report.Level)
 	}
 }
 
 // dropInactive forgets those that fell silent long ago.
-func (b *Limiter) dropInactive(now time.Time) {
-	for name, s := range b.peers {
+func (lim *Limiter) dropInactive(now time.Time) {
+	for name, s := range lim.peers {
 		if now.Sub(s.lastReceived) > senderRetention {
-			delete(b.peers, name)
-			b.dropSender(s)
+			delete(lim.peers, name)
+			lim.dropSender(s)
 		}
 	}
 }
 
 // dropSender forgets what a sender told.
-func (b *Limiter) dropSender(s *sender) {
-	b.senders = slices.DeleteFunc(b.senders, func(other *sender) bool { return other == s })
-	for _, a := range b.accounts {
+func (lim *Limiter) dropSender(s *sender) {
+	lim.senders = slices.DeleteFunc(lim.senders, func(other *sender) bool { return other == s })
+	for _, a := range lim.accounts {
 		delete(a.peerUsage, s)
 	}
 }
--- a/quota/targets_test.go
+++ b/quota/targets_test.go
@@ -13,27 +13,27 @@
 // targetUnits is how much one request counts against a target's limit.
 const targetUnits = 1000
 
-// newTargetDeployment plays the requests to one target that takes rate a second from
+// newTargetSimulation plays the requests to one target that takes rate a second from
 // all processes together.
-func newTargetDeployment(n int, rate float64, off policy.Disabled, seed uint64) *deployment {
-	d := newDeployment(0, Limit{Rate: rate * targetUnits, Burst: max(rate/4, 1) * targetUnits, Unit: Tokens}, off, seed)
+func newTargetSimulation(n int, rate float64, off policy.Disabled, seed uint64) *simulation {
+	d := newSimulation(0, Limit{Rate: rate * targetUnits, Burst: max(rate/4, 1) * targetUnits, Unit: Tokens}, off, seed)
 	d.bounds = Tolerance{Window: 4 * time.Second, Overrun: 0.5, Slack: 5 * targetUnits}
-	d.pulse = max(50, time.Duration(5*min(n, 25))) * time.Millisecond
-	d.fixed = true
+	d.pulseInterval = max(50, time.Duration(5*min(n, 25))) * time.Millisecond
+	d.fixedSize = true
 	for range n {
-		h := &host{weight: 1}
-		d.hosts = append(d.hosts, h)
-		d.startHost(h, n)
+		h := &process{weight: 1}
+		d.processes = append(d.processes, h)
+		d.startProcess(h, n)
 	}
 	return d
 }
 
-// TestTargetsGetWhatTheyTake compares the ways at a target that names a limit: the most
+// TestTargetLimitsAreKeptAndUsed compares the ways at a target that names a limit: the most
 // that came in any four seconds, of what the target puts up with, and how much of its
 // limit was used. Guards against a sum that no process keeps, and against capacity that
 // is left unused.
-func TestTargetsGetWhatTheyTake(t *testing.T) {
-	const settles, length = 3 * time.Second, 20 * time.Second
+func TestTargetLimitsAreKeptAndUsed(t *testing.T) {
+	const warmUpTime, length = 3 * time.Second, 20 * time.Second
 	datadriven.RunTest(t, "testdata/targets", func(t *testing.T, d *datadriven.TestData) string {
 		n, tenths, factor, only := 3, 10, 3, ""
 		d.MaybeScanArgs(t, "processes", &n)
@@ -42,15 +42,15 @@
 		d.MaybeScanArgs(t, "way", &only)
 		rate := float64(tenths) / 10
 		out := ""
-		for _, w := range ways {
+		for _, w := range variants {
 			if only != "" && only != w.name {
 				continue
 			}
-			m := newTargetDeployment(n, rate, w.off, 1)
-			m.run(settles, float64(factor)*rate*targetUnits, targetUnits)
-			before := len(m.ledger)
+			m := newTargetSimulation(n, rate, w.off, 1)
+			m.run(warmUpTime, float64(factor)*rate*targetUnits, targetUnits)
+			before := len(m.admissions)
 			m.run(length, float64(factor)*rate*targetUnits, targetUnits)
-			most, used := m.most(m.limit, settles), float64(len(m.ledger)-before)/(rate*length.Seconds())
+			most, used := m.maxWindowUse(m.limit, warmUpTime), float64(len(m.admissions)-before)/(rate*length.Seconds())
 			if w.off == nil && (most > 1 || used < 0.8) {
 				t.Errorf("%d processes: most %.2f of what is put up with, used %.2f of the limit", n, most, used)
 			}
--- a/quota/usage.go
+++ b/quota/usage.go
@@ -49,38 +49,38 @@
 )
 
 // recordRefusal notes a refusal of a customer; the caller holds mu.
-func (b *Limiter) recordRefusal(a *account, now time.Time) {
+func (lim *Limiter) recordRefusal(a *account, now time.Time) {
 	a.lastRefusedAt = now
 	if !a.overLimit {
 		a.overLimit = true
-		b.recordChange(a, now)
+		lim.recordChange(a, now)
 	}
 }
 
-func (b *Limiter) recordChange(a *account, now time.Time) {
-	if len(b.changes) < maxChanges {
-		b.changes = append(b.changes, Change{Customer: a.name, Over: a.overLimit, CustomerUsage: b.customerUsage(a, now)})
+func (lim *Limiter) recordChange(a *account, now time.Time) {
+	if len(lim.changes) < maxChanges {
+		lim.changes = append(lim.changes, Change{Customer: a.name, Over: a.overLimit, CustomerUsage: lim.customerUsage(a, now)})
 	}
 }
 
 // Changes returns the customers that went over their limits or came back within them
 // since it was asked last.
-func (b *Limiter) Changes(now time.Time) []Change {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, a := range b.accounts {
+func (lim *Limiter) Changes(now time.Time) []Change {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	for _, a := range lim.accounts {
 		if a.overLimit && now.Sub(a.lastRefusedAt) > overLimitHold {
 			a.overLimit = false
-			b.refresh(a, now)
-			b.recordChange(a, now)
+			lim.refresh(a, now)
+			lim.recordChange(a, now)
 		}
 	}
-	out := b.changes
-	b.changes = nil
+	out := lim.changes
+	lim.changes = nil
 	return out
 }
 
-func (b *Limiter) customerUsage(a *account, now time.Time) CustomerUsage {
+func (lim *Limiter) customerUsage(a *account, now time.Time) CustomerUsage {
 	return CustomerUsage{
 		Customer: a.name, Unit: a.limit.Unit, Rate: a.limit.Rate, Burst: a.limit.Burst, Remaining: a.level,
 		Demand: a.demandRate(), TotalDemand: a.totalDemandRate(now), Admitted: a.admitted, Refused: a.refused, Over: a.overLimit,
@@ -88,13 +88,13 @@
 }
 
 // State returns what is known of all limits, by customer.
-func (b *Limiter) State(now time.Time) State {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := State{Members: b.members, Reachable: b.reachableProcesses(now), LimitFraction: b.limitFraction(now)}
-	for _, a := range b.accounts {
-		b.refresh(a, now)
-		out.Customers = append(out.Customers, b.customerUsage(a, now))
+func (lim *Limiter) State(now time.Time) State {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	out := State{Members: lim.members, Reachable: lim.reachableProcesses(now), LimitFraction: lim.limitFraction(now)}
+	for _, a := range lim.accounts {
+		lim.refresh(a, now)
+		out.Customers = append(out.Customers, lim.customerUsage(a, now))
 	}
 	slices.SortFunc(out.Customers, func(a, b CustomerUsage) int { return cmp.Compare(a.Customer, b.Customer) })
 	return out
