--- a/forecast/estimator.go
+++ b/forecast/estimator.go
@@ -1,13 +1,12 @@
-// Package forecast learns, from what a service's answers show, how fast its
-// engines read prompts, how long runs hold a slot, and how long a load of
-// weights takes, and works out from that what is to be expected of the next
-// request. It has no clock of its own and is not safe for concurrent use.
+// Package forecast estimates, from the responses of a service, how fast its engines prefill
+// prompts, how long runs hold a slot and how long loading weights takes, and predicts the
+// latency of the next request. It has no clock of its own and is not safe for concurrent
+// use.
 //
-// Rates measured for each runner alone feed back on themselves: a runner that
-// is taken for slow gets less to do and is measured at other moments than one
-// that is taken for fast. Here one set of figures is fitted to all runners of a
-// service, what waits before a request counts among what is read, and a request
-// that mostly waited says nothing.
+// Rates estimated for each target separately feed back on themselves: a target estimated as
+// slow gets less work and is sampled at other moments than one estimated as fast. Therefore
+// one set of coefficients is fitted to all targets of a service, prompts queued ahead of a
+// request count as part of its prefill, and requests that mostly waited are ignored.
 package forecast
 
 import (
@@ -15,90 +14,89 @@
 	"time"
 )
 
-// decayTime is after what time of observing an observation counts for a third: an
-// engine that is replaced by another is known within two or three times that,
-// and the few long prompts of a fleet still add up.
+// decayTime is the observed time after which the weight of a sample has decayed to about a
+// third. A replaced engine is recognised within two or three times that, and the few long
+// prompts of a fleet still add up.
 const decayTime = 4 * time.Second
 
-// PrefillSample is one request's way to its first token.
+// PrefillSample is the observation of one request up to its first token.
 type PrefillSample struct {
-	// UncachedTokens is how many of its prompt's tokens were to be read there, Prompt
-	// how many it has in all.
+	// UncachedTokens is the number of prompt tokens that had to be prefilled, PromptTokens
+	// the length of the prompt.
 	UncachedTokens int
 	PromptTokens   int
-	// QueuedTokens is how many tokens of other prompts were to be read before.
+	// QueuedTokens is the number of tokens of other prompts to be prefilled before.
 	QueuedTokens int
-	// Transferred is what was to be moved there before.
+	// Transferred is the KV cache data to be transferred before.
 	Transferred KVTransfer
-	// TimeToFirstToken is the time from sending it to its first token.
+	// TimeToFirstToken is measured from the sending of the request.
 	TimeToFirstToken time.Duration
 }
 
-// KVTransfer is how many tokens are moved to a runner from another one or from a store
-// of kept parts, each as often as its way takes longer than within one zone.
+// KVTransfer is the number of tokens whose KV cache is transferred to a target from another
+// one or from a store, each weighted by the cost of its path relative to one within a zone.
 type KVTransfer struct {
 	FromTarget int
 	FromStore  int
 }
 
-// Coefficients are what is known of a service's engines, in seconds.
+// Coefficients are the fitted parameters of a service's engines, in seconds.
 type Coefficients struct {
-	// Base is the time to the first token of a prompt that needs no reading.
+	// Base is the time to the first token of a prompt that needs no prefill.
 	Base float64
-	// PerKiloToken is the time to read a thousand tokens, Pairs that by which a million
-	// pairs of tokens, of which each attends to the other, prolongs it.
+	// PerKiloToken is the time to prefill a thousand tokens, PerMegaPair the additional
+	// time for each million pairs of tokens of which one attends to the other.
 	PerKiloToken float64
 	PerMegaPair  float64
-	// TargetTransfer and Store are the times to move a thousand tokens to a runner from
-	// another one or from a store, with what waits there.
+	// TargetTransfer and StoreTransfer are the times to transfer a thousand tokens from
+	// another target or from a store, including queueing there.
 	TargetTransfer float64
 	StoreTransfer  float64
 }
 
-// defaultCoefficients is taken until something was observed: the order of the engines of
-// today. Nobody is refused by it (Engine.Known).
+// defaultCoefficients are used until there are samples; they have the order of magnitude of
+// current engines. No request is refused because of them (Estimator.HasEnoughSamples).
 var defaultCoefficients = Coefficients{Base: 0.05, PerKiloToken: 0.016, TargetTransfer: 0.001, StoreTransfer: 0.004}
 
-// Bounds of a fit.
+// Bounds and prior weights of a fit.
 const (
-	// minPerKiloToken is the least time for a thousand tokens: no engine reads two
-	// million a second.
+	// minPerKiloToken is the least time for a thousand tokens: no engine prefills two
+	// million tokens per second.
 	minPerKiloToken = 0.0005
-	// basePriorWeight, tokenWeight, pairsWeight and movedWeight say how firmly the
-	// figures of before stand against what is observed, in the units of the sums:
-	// like a few short prompts, and like one of 15,000 tokens that takes half a
-	// second. Ten prompts of 300 tokens, whose times differ by 20 ms for other
-	// reasons, say nothing of how long one of 40,000 takes.
+	// The prior weights say how strongly the previous coefficients resist new samples, in
+	// the units of the sums: like a few short prompts, and like one of 15,000 tokens that
+	// takes half a second. Ten prompts of 300 tokens whose times vary by 20 ms for other
+	// reasons say nothing about a prompt of 40,000 tokens.
 	basePriorWeight     = 100
 	tokenPriorWeight    = 1000
 	pairsPriorWeight    = 50000
 	transferPriorWeight = 1000
-	// minTransfer is the least time to move a thousand tokens.
+	// minTransfer is the least time to transfer a thousand tokens.
 	minTransfer = 0.00002
 )
 
-// Estimator is what is known of one service's engines; New returns one.
+// Estimator holds the estimates for one service; New returns one.
 type Estimator struct {
 	local  Sums
 	peers  map[string]peerReport
 	fitted [coefficientCount]float64
 	stale  bool
 	agedAt time.Time
-	// slotHold is the time that slotHold held their slots after their first token, by the
-	// tokens that they were allowed to generate.
+	// slotHold is the time that runs held their slots after the first token, per token that
+	// they were allowed to generate.
 	slotHold TimePerToken
-	// memoryHold is the time that runs memoryHold their memory, each token of it counted.
+	// memoryHold is the time that runs held memory, weighted by tokens.
 	memoryHold TimePerToken
-	// offered is the reading that this process brings, as of mixed, and begun when it
-	// brought some first.
+	// offered is the load that arrives at this process, as of offeredAt; firstArrival is
+	// the time of the first arrival.
 	offered      OfferedLoad
 	offeredAt    time.Time
 	firstArrival time.Time
-	// WeightLoads is what is known of loads of weights.
+	// WeightLoads is the estimate of the duration of weight loads.
 	WeightLoads WeightLoads
 }
 
-// peerReport is the sums of another process, or of a group of them.
+// peerReport is the last report of another process or of a group of processes.
 type peerReport struct {
 	sums        Sums
 	slotHold    TimePerToken
@@ -107,7 +105,7 @@
 	fromGroup   bool
 }
 
-// New returns an engine of which nothing is known.
+// New returns an estimator without samples.
 func New() *Estimator {
 	return &Estimator{peers: map[string]peerReport{}, fitted: defaultCoefficients.vector()}
 }
@@ -120,28 +118,27 @@
 	return [coefficientCount]float64{1, float64(r.UncachedTokens+r.QueuedTokens) / 1e3, tokenPairs(r.UncachedTokens, r.PromptTokens), float64(r.Transferred.FromTarget) / 1e3, float64(r.Transferred.FromStore) / 1e3}
 }
 
-// tokenPairs returns how many millions of tokenPairs of tokens reading the last missing
-// of a prompt's tokens takes.
+// tokenPairs returns the number of token pairs, in millions, in the prefill of the last
+// missing tokens of a prompt.
 func tokenPairs(missing, prompt int) float64 {
 	return float64(missing) * (float64(max(prompt, missing)) - float64(missing)/2) / 1e6
 }
 
-// Figures of which observations count how much.
+// Weights of samples.
 const (
-	// maxQueuedRatio is how many times its own tokens may have waited before a
-	// request that says something of reading: beyond, its time is a matter of
-	// what others know better.
+	// maxQueuedRatio is the largest ratio of queued tokens to the request's own tokens at
+	// which a sample is used. Beyond it the time depends mostly on the queue, which other
+	// processes know better.
 	maxQueuedRatio = 1.0
-	// outlierFactor is from how many times the expectation on, up or down, a request
-	// counts less, with the square: it met a runner that stood still, or one that
-	// had its prompt already.
+	// outlierFactor is the ratio to the prediction, up or down, from which the weight of a
+	// sample falls with the square: the target stood still, or had the prompt cached.
 	outlierFactor = 2.0
-	// noiseFloor is added to the expectation where errors are weighed by it: what
-	// links, timers and single steps of a batch add.
+	// noiseFloor is added to the prediction when errors are weighted by it, in seconds: the
+	// noise of links, timers and batch steps.
 	noiseFloor = 0.03
 )
 
-// ObservePrefill takes one request's way to its first token.
+// ObservePrefill adds the sample of one request up to its first token.
 func (e *Estimator) ObservePrefill(r PrefillSample, now time.Time) {
 	if r.TimeToFirstToken <= 0 || float64(r.QueuedTokens) > maxQueuedRatio*float64(r.UncachedTokens+r.Transferred.FromTarget+r.Transferred.FromStore) {
 		return
@@ -170,7 +167,7 @@
 	return sum
 }
 
-// decayLocal makes what was observed before count less.
+// decayLocal reduces the weight of earlier samples of this process.
 func (e *Estimator) decayLocal(now time.Time) {
 	factor := observationDecay(now.Sub(e.agedAt))
 	if e.agedAt.IsZero() {
@@ -182,7 +179,7 @@
 	e.agedAt = now
 }
 
-// current returns the figures fitted to all that was observed and heard.
+// current returns the coefficients fitted to all samples of this process and its peers.
 func (e *Estimator) current(now time.Time) [coefficientCount]float64 {
 	if !e.stale {
 		return e.fitted
@@ -202,17 +199,17 @@
 	return e.fitted
 }
 
-// Coefficients returns what is known.
 func (e *Estimator) Coefficients(now time.Time) Coefficients {
 	f := e.current(now)
 	return Coefficients{Base: f[0], PerKiloToken: f[1], PerMegaPair: f[2], TargetTransfer: f[3], StoreTransfer: f[4]}
 }
 
-// minSamples is from how many observations on somebody may be refused by what
-// they say.
+// minSamples is the number of samples from which predictions may be used to refuse
+// requests.
 const minSamples = 20
 
-// HasEnoughSamples reports whether enough was observed for a request to be refused by it.
+// HasEnoughSamples reports whether there are enough samples to refuse requests by the
+// predictions.
 func (e *Estimator) HasEnoughSamples() bool {
 	weight := e.local.Weight
 	for _, p := range e.peers {
@@ -221,25 +218,25 @@
 	return weight >= minSamples
 }
 
-// BaseLatency returns the time to the first token of a prompt that needs no reading.
+// BaseLatency returns the time to the first token of a prompt that needs no prefill.
 func (e *Estimator) BaseLatency(now time.Time) time.Duration {
 	return seconds(e.current(now)[0])
 }
 
-// PrefillTime returns the time that reading the last missing of a prompt's tokens
-// takes an engine that has nothing else to read.
+// PrefillTime returns the time to prefill the last missing tokens of a prompt on an engine
+// that has no other prefill to do.
 func (e *Estimator) PrefillTime(missing, prompt int, now time.Time) time.Duration {
 	f := e.current(now)
 	return seconds(f[1]*float64(missing)/1e3 + f[2]*tokenPairs(missing, prompt))
 }
 
-// TransferTime returns the time that moving parts of a prompt takes.
+// TransferTime returns the time of a KV cache transfer.
 func (e *Estimator) TransferTime(m KVTransfer, now time.Time) time.Duration {
 	f := e.current(now)
 	return seconds((f[3]*float64(m.FromTarget) + f[4]*float64(m.FromStore)) / 1e3)
 }
 
-// BacklogTime returns the time that reading tokens of several prompts takes.
+// BacklogTime returns the time to prefill the given number of tokens of several prompts.
 func (e *Estimator) BacklogTime(tokens int, now time.Time) time.Duration {
 	return seconds(e.current(now)[1] * float64(tokens) / 1e3)
 }
@@ -248,8 +245,8 @@
 	return time.Duration(math.Max(0, s) * float64(time.Second))
 }
 
-// ObserveRun takes how long a run that was allowed to generate tokens held its slot
-// after its first token.
+// ObserveRun adds the time that a run held its slot after its first token. maxTokens is the
+// number of tokens that the run was allowed to generate.
 func (e *Estimator) ObserveRun(maxTokens int, held time.Duration, now time.Time) {
 	if maxTokens <= 0 || held < 0 {
 		return
@@ -259,7 +256,7 @@
 	e.slotHold.Tokens += float64(maxTokens)
 }
 
-// ObserveMemoryHold takes for how long a run held so many tokens of its target's memory.
+// ObserveMemoryHold adds the time that a run held the memory of the given number of tokens.
 func (e *Estimator) ObserveMemoryHold(tokens int, held time.Duration, now time.Time) {
 	if tokens <= 0 || held < 0 {
 		return
@@ -269,10 +266,10 @@
 	e.memoryHold.Tokens += float64(tokens)
 }
 
-// defaultMemoryHold is how long memory is taken to be held before a run was seen.
+// defaultMemoryHold is used until a run was observed.
 const defaultMemoryHold = 500 * time.Millisecond
 
-// MeanMemoryHold returns for how long a token of memory is held by a run in the mean.
+// MeanMemoryHold returns the mean time for which a run holds a token of memory.
 func (e *Estimator) MeanMemoryHold() time.Duration {
 	if e.memoryHold.Tokens <= 0 {
 		return defaultMemoryHold
@@ -280,7 +277,7 @@
 	return seconds(e.memoryHold.Seconds / e.memoryHold.Tokens)
 }
 
-// TimePerToken is a time by the tokens that it was for.
+// TimePerToken is a total time and the number of tokens it is for.
 type TimePerToken struct {
 	Seconds float64
 	Tokens  float64
@@ -296,8 +293,8 @@
 	r.Tokens *= factor
 }
 
-// ExpectedSlotHold returns the time for which a run that may generate tokens is expected to
-// hold its slot after its first token; ok is false where no run was seen yet.
+// ExpectedSlotHold returns the expected time for which a run that may generate maxTokens
+// holds its slot after its first token. ok is false until a run was observed.
 func (e *Estimator) ExpectedSlotHold(maxTokens int) (held time.Duration, ok bool) {
 	all := e.slotHold
 	for _, p := range e.peers {
--- a/forecast/estimator_test.go
+++ b/forecast/estimator_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Unix(1000, 0)
 
-// trueEngine is an engine of a test.
+// trueEngine is the engine behind the samples of a test.
 type trueEngine struct {
 	fixed, token, pairs float64
 }
@@ -20,8 +20,7 @@
 	return seconds(m.fixed + m.token*f[1] + m.pairs*f[2])
 }
 
-// observe lets an engine meet n prompts a few milliseconds apart, of 100 to
-// 40,000 tokens, with noise of a tenth.
+// observe adds n samples 20 ms apart, of prompts with 100 to 40,000 tokens and 10% noise.
 func observe(e *Estimator, m trueEngine, n int, from time.Time, random *rand.Rand) time.Time {
 	for range n {
 		r := PrefillSample{UncachedTokens: 100 + random.IntN(300)}
@@ -42,13 +41,13 @@
 		want := m.timeToFirstToken(r).Seconds()
 		got := (e.BaseLatency(at) + e.PrefillTime(r.UncachedTokens, r.PromptTokens, at)).Seconds()
 		if got < want*(1-within) || got > want*(1+within) {
-			t.Errorf("%+v: %.3f s expected, %.3f s is right", r, got, want)
+			t.Errorf("%+v: estimated %.3f s, want %.3f s", r, got, want)
 		}
 	}
 }
 
-// The three engines that the project has met, and whatever else: a few seconds
-// of prompts tell how long the next one takes, of any size.
+// Guards against estimates that do not fit prompts of every size within a few seconds, for
+// the three known engines and others.
 func TestCoefficientsConvergeWithinSeconds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := trueEngine{
@@ -63,8 +62,8 @@
 	})
 }
 
-// Engines are replaced by others of half the speed while traffic goes on. What
-// was learnt of the old ones must be gone within ten seconds.
+// Guards against estimates that still reflect the former engines ten seconds after they
+// were replaced under load.
 func TestReplacedEnginesAreFollowed(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	e := New()
@@ -77,10 +76,8 @@
 	checkEstimates(t, e, fast, at, 0.2)
 }
 
-// A burst keeps every prompt waiting behind ten times its own tokens, which a
-// process knows in part only. Were the waits taken for reading, the engines
-// would count as ten times slower, more would be refused, and the few left
-// would still have waited. The figures stay.
+// Guards against learning queueing time as prefill time in a burst: engines would seem ten
+// times slower, and refusing more requests would not shorten the waits of the rest.
 func TestQueueingIsNotLearnedAsPrefill(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 1))
 	e := New()
@@ -95,8 +92,8 @@
 	checkEstimates(t, e, m, at, 0.2)
 }
 
-// A runner stands still for seconds, and some prompts were cached though nobody
-// knew. One observation in ten is off by five times or more, either way.
+// Guards against estimates distorted when one sample in ten is off by five times or more,
+// because a target stood still or a prompt was cached without being known.
 func TestOutliersChangeLittle(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 1))
 	e := New()
@@ -112,8 +109,8 @@
 	checkEstimates(t, e, m, at, 0.25)
 }
 
-// An entry starts anew beside others: it knows what they know from their first
-// words on, and a word that comes again counts once.
+// Guards against a restarted process that does not know the estimates of its peers, or
+// counts repeated reports more than once.
 func TestNewProcessLearnsFromPeers(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 1))
 	m := trueEngine{0.09, 0.02, 0.0004}
@@ -122,26 +119,25 @@
 	old.ObserveRun(480, time.Second, at)
 	old.WeightLoads.Observe(2 * time.Second)
 	if fresh.HasEnoughSamples() {
-		t.Error("an engine of which nothing was seen counts as known")
+		t.Error("an estimator without samples has enough samples")
 	}
 	for range 5 {
 		w, ok := old.Report("lm", at)
 		if !ok {
-			t.Fatal("nothing to tell")
+			t.Fatal("no report")
 		}
 		fresh.ApplyReport("old/1", w, at)
 	}
 	checkEstimates(t, fresh, m, at, 0.2)
 	if held, ok := fresh.ExpectedSlotHold(480); !ok || held < 900*time.Millisecond || held > 1100*time.Millisecond {
-		t.Errorf("a run is expected to take %v", held)
+		t.Errorf("expected slot hold %v, want about 1 s", held)
 	}
 	if !fresh.HasEnoughSamples() || fresh.WeightLoads.LoadDuration() != 2*time.Second {
-		t.Errorf("known %v, a load takes %v", fresh.HasEnoughSamples(), fresh.WeightLoads.LoadDuration())
+		t.Errorf("enough samples %v, load duration %v", fresh.HasEnoughSamples(), fresh.WeightLoads.LoadDuration())
 	}
 }
 
-// After an hour without a request the figures are those of an hour ago, not the
-// guess of the first minute.
+// Guards against falling back to the defaults after an hour without requests.
 func TestIdleTimeKeepsCoefficients(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 1))
 	m := trueEngine{0.09, 0.02, 0.0004}
--- a/forecast/fit.go
+++ b/forecast/fit.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// coefficientCount is how many figures a line of sums is fitted for.
+// coefficientCount is the number of fitted coefficients.
 const coefficientCount = 5
 
-// Sums are the sums of a weighted least-squares fit of terms figures to
-// observations. They add up: the sums of several processes are those of all
-// their observations, so that processes can pool what they saw in a few numbers.
+// Sums are the sums of a weighted least-squares fit. They are additive: the sums of several
+// processes equal those of all their samples, so that processes can pool their samples in a
+// few numbers.
 type Sums struct {
-	// Cross holds the products of each two features, row by row from the
-	// diagonal on; Right those of the features with what was observed.
+	// Cross holds the products of each two features, row by row from the diagonal on; Right
+	// those of the features with the observed times.
 	Cross [coefficientCount * (coefficientCount + 1) / 2]float64
 	Right [coefficientCount]float64
-	// Weight is about how many observations count.
+	// Weight is the decayed number of samples.
 	Weight float64
 }
 
-// add counts one observation in.
+// add adds one sample.
 func (s *Sums) add(features [coefficientCount]float64, observed, weight float64) {
 	at := 0
 	for i := range coefficientCount {
@@ -33,7 +33,6 @@
 	s.Weight++
 }
 
-// Merge adds another process's sums.
 func (s *Sums) Merge(other Sums) {
 	for i := range s.Cross {
 		s.Cross[i] += other.Cross[i]
@@ -44,7 +43,7 @@
 	s.Weight += other.Weight
 }
 
-// scale makes all observations count for share of what they did.
+// scale multiplies the weight of all samples by factor.
 func (s *Sums) scale(factor float64) {
 	for i := range s.Cross {
 		s.Cross[i] *= factor
@@ -55,21 +54,22 @@
 	s.Weight *= factor
 }
 
-// maxDecayStep bounds the time by which one observation ages those before it: the
-// figures of an engine that had nothing to do for an hour still hold.
+// maxDecayStep bounds the decay caused by one sample: the coefficients of an engine that
+// was idle for an hour still hold.
 const maxDecayStep = time.Second
 
-// observationDecay is what is left of an observation's weight after elapsed.
+// observationDecay returns the factor by which the weight of earlier samples decays.
 func observationDecay(elapsed time.Duration) float64 {
 	return decayFactor(min(max(elapsed, 0), maxDecayStep), decayTime)
 }
 
-// decayFactor is what is left after elapsed of what fades to a third in memory.
+// decayFactor returns exp(-elapsed/memory), the factor of an exponential decay with memory
+// as its time constant.
 func decayFactor(elapsed, memory time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / memory.Seconds())
 }
 
-// element returns a product of two features.
+// element returns the product of features i and j.
 func (s *Sums) element(i, j int) float64 {
 	if i > j {
 		i, j = j, i
@@ -77,13 +77,12 @@
 	return s.Cross[i*coefficientCount-i*(i-1)/2+j-i]
 }
 
-// fitIterations is how many rounds of improvement a fit takes: it begins at the
-// figures fitted before, and with three of them ten rounds change the last by
-// under a hundredth.
+// fitIterations is the number of iterations of a fit. It starts at the previous
+// coefficients; with three of them, ten iterations change the last by under one percent.
 const fitIterations = 40
 
-// fit returns the figures, none below its floor, that explain the sums best;
-// prior are those taken without observations, which count like a few of them.
+// fit returns the coefficients that fit the sums best, none below its floor, by coordinate
+// descent. prior are the values assumed without samples, with the given weights.
 func (s *Sums) fit(start, prior, floor, priorWeight [coefficientCount]float64) [coefficientCount]float64 {
 	out := start
 	for range fitIterations {
--- a/forecast/load.go
+++ b/forecast/load.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// OfferedLoad is how much reading light and heavy requests bring, in seconds of a runner's
-// time by each second, how many heavy ones there are a second, and how many long
-// runs. Its zero value is nothing.
+// OfferedLoad is the arriving prefill work of light and of heavy requests, in seconds of a
+// target's time per second, and the arrival rates of heavy requests and of long runs per
+// second.
 type OfferedLoad struct {
 	Light     float64
 	Heavy     float64
@@ -12,7 +12,7 @@
 	LongRate  float64
 }
 
-// addScaled counts a share of another mix in.
+// addScaled adds another load multiplied by factor.
 func (m *OfferedLoad) addScaled(other OfferedLoad, factor float64) {
 	m.Light += factor * other.Light
 	m.Heavy += factor * other.Heavy
@@ -20,10 +20,10 @@
 	m.LongRate += factor * other.LongRate
 }
 
-// loadDecayTime is after what time a request counts for a third in the mix.
+// loadDecayTime is the time constant with which arrivals decay in the offered load.
 const loadDecayTime = 5 * time.Second
 
-// ObserveArrival takes the reading that a request brings.
+// ObserveArrival adds the prefill time of an arriving request.
 func (e *Estimator) ObserveArrival(reading time.Duration, light bool, now time.Time) {
 	e.decayOffered(now)
 	if light {
@@ -34,9 +34,9 @@
 	e.offered.HeavyRate += 1 / loadDecayTime.Seconds()
 }
 
-// offeredRate returns the own mix as a rate: what was brought since the first request
-// over the time since then, while that is short of the memory. Otherwise a process
-// that starts would tell of a tenth of what it brings in its first half second.
+// offeredRate returns the load offered to this process as a rate. Until the decay time has
+// passed since the first arrival, it is divided by the part that could have accumulated;
+// otherwise a starting process would report a tenth of its load in the first half second.
 func (e *Estimator) offeredRate(now time.Time) OfferedLoad {
 	e.decayOffered(now)
 	share := 1 - decayFactor(max(now.Sub(e.firstArrival), minElapsed), loadDecayTime)
@@ -45,10 +45,10 @@
 	return out
 }
 
-// minElapsed is the least time since the first request by which a rate is told.
+// minElapsed is the least time since the first arrival used to compute the rate.
 const minElapsed = 250 * time.Millisecond
 
-// ObserveLongRun takes that a long run comes.
+// ObserveLongRun adds the arrival of a long run.
 func (e *Estimator) ObserveLongRun(now time.Time) {
 	e.decayOffered(now)
 	e.offered.LongRate += 1 / loadDecayTime.Seconds()
@@ -69,7 +69,7 @@
 	e.offeredAt = now
 }
 
-// OfferedLoad returns what all processes bring, as far as they told.
+// OfferedLoad returns the load offered to all processes, as far as they have reported it.
 func (e *Estimator) OfferedLoad(now time.Time) OfferedLoad {
 	all := e.offeredRate(now)
 	for _, p := range e.peers {
@@ -78,7 +78,7 @@
 	return all
 }
 
-// MeanHeavyPrefill returns the mean time to read what a heavy request brings.
+// MeanHeavyPrefill returns the mean prefill time of heavy requests.
 func (m OfferedLoad) MeanHeavyPrefill() time.Duration {
 	if m.HeavyRate <= 0 {
 		return 0
--- a/forecast/reports.go
+++ b/forecast/reports.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Report is what a process tells the others of one service's engines.
+// Report is what a process reports to others about the engines of one service.
 type Report struct {
 	Service     string
 	Sums        Sums
@@ -14,27 +14,26 @@
 	OfferedLoad OfferedLoad
 }
 
-// reportTTL is for how long another process's word counts: until it should
-// have come many times.
+// reportTTL is how long a report is used: long enough for several to be lost.
 const reportTTL = 10 * time.Second
 
-// Report returns what this process observed itself; ok is false if that is nothing.
+// Report returns the samples of this process; ok is false if there are none.
 func (e *Estimator) Report(service string, now time.Time) (r Report, ok bool) {
 	return Report{Service: service, Sums: e.local, SlotHold: e.slotHold, WeightLoads: e.WeightLoads, OfferedLoad: e.offeredRate(now)}, e.local.Weight > 0 || e.WeightLoads.Samples > 0
 }
 
-// ApplyReport takes another process's word in place of the one before it.
+// ApplyReport replaces the last report of another process.
 func (e *Estimator) ApplyReport(sender string, r Report, now time.Time) {
 	e.applyReport(sender, r, peerReport{sums: r.Sums, slotHold: r.SlotHold, offeredLoad: r.OfferedLoad, receivedAt: now})
 }
 
-// ApplyGroupReport takes the word of a group of processes in place of the one before it.
+// ApplyGroupReport replaces the last report of another group of processes.
 func (e *Estimator) ApplyGroupReport(group int, r Report, now time.Time) {
 	e.applyReport("group "+strconv.Itoa(group), r, peerReport{sums: r.Sums, slotHold: r.SlotHold, offeredLoad: r.OfferedLoad, receivedAt: now, fromGroup: true})
 }
 
-// GroupReport returns what this process and the others that told it of theirs, but
-// for other groups, observed together.
+// GroupReport returns the merged samples of this process and the processes of its group; ok
+// is false if there are none.
 func (e *Estimator) GroupReport(service string, now time.Time) (r Report, ok bool) {
 	r, ok = e.Report(service, now)
 	for _, p := range e.peers {
@@ -52,7 +51,8 @@
 func (e *Estimator) applyReport(sender string, r Report, stored peerReport) {
 	e.peers[sender] = stored
 	if r.WeightLoads.Samples > e.WeightLoads.Samples {
-		// The one that gives the orders knows most; who does so next goes on from there.
+		// The process that gives the orders has the most samples; its successor continues
+		// from them.
 		e.WeightLoads = r.WeightLoads
 	}
 	e.stale = true
--- a/forecast/weightloads.go
+++ b/forecast/weightloads.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// Figures of loads of weights.
+// Parameters of weight loads.
 const (
-	// concurrentLoadShare is the part of a model's runners that load weights at the same
-	// time, and loadsLeast the least number: as many as loaded at full speed beside
-	// each other on every platform met; more end no sooner, and each is out of service
-	// for longer. It can't be learnt from how loads slow each other down, as nobody sees
-	// when a runner that ends its runs begins to load (docs/design/rollouts.md).
+	// concurrentLoadShare is the part of a model's targets that load weights at the same
+	// time, and minConcurrentLoads the least number: as many as loaded at full speed
+	// concurrently on every platform seen so far. With more, the last load ends no sooner,
+	// and each target is out of service for longer. The number can't be learned from how
+	// loads slow each other down, because nobody sees when a target that drains its runs
+	// starts to load (docs/design/rollouts.md).
 	concurrentLoadShare = 0.18
 	minConcurrentLoads  = 2
-	// defaultLoadDuration is taken for the time of a load until one was seen: the order of
-	// the engines of today.
+	// defaultLoadDuration is assumed until a load was observed; it has the order of
+	// magnitude of current engines.
 	defaultLoadDuration = time.Second
-	// increaseFactor is the part of the difference that a longer load adds: engines may
-	// be replaced by some that take longer, but most loads seem longer because
+	// increaseFactor is the part of the difference by which a longer load raises the
+	// estimate: engines may be replaced by slower ones, but most loads seem longer because
 	// runs had to end first.
 	increaseFactor = 0.01
-	// orderOverhead is the time of an order that is none of its load: until the
-	// runner has ended its runs, and until the end of the load is known, which a
-	// report tells some hundred milliseconds late.
+	// orderOverhead is the time of an order besides its load: until the target has ended
+	// its runs, and until the end of the load is known, which a report shows some hundred
+	// milliseconds late.
 	orderOverhead = 600 * time.Millisecond
 )
 
-// WeightLoads is what is known of loads of weights. Its zero value knows nothing.
+// WeightLoads estimates the duration of weight loads. The zero value has no samples.
 type WeightLoads struct {
-	// IdleDuration is the time of a load of an idle runner; 0 until one was seen.
+	// IdleDuration is the duration of a load on an idle target; 0 until a load was
+	// observed.
 	IdleDuration time.Duration
-	// Samples counts the loads that this rests on, by whichever process.
+	// Samples is the number of loads observed by whichever process gave the orders.
 	Samples int
 }
 
-// Observe takes a load that ended so long after its order. Of the orders, those of
-// idle runners tell the time of a load.
+// Observe adds the time from an order to the end of its load. Only the shortest times,
+// those of idle targets, show the duration of the load itself.
 func (l *WeightLoads) Observe(took time.Duration) {
 	if took <= 0 {
 		return
@@ -46,22 +48,21 @@
 	l.IdleDuration += time.Duration(increaseFactor * float64(took-l.IdleDuration))
 }
 
-// MaxConcurrent returns how many of n runners may have orders at the same time: so many
-// that those of them that have ended their runs load at full speed, and no more,
-// since each one more is out of service for nothing. Half of the runners stay in
-// service.
+// MaxConcurrent returns how many of n targets may have orders at the same time: as many
+// that those among them which have ended their runs load at full speed. More would only be
+// out of service for longer. At least half of the targets stay in service.
 func (l *WeightLoads) MaxConcurrent(n int) int {
 	load := l.LoadDuration().Seconds()
 	orders := max(minConcurrentLoads, concurrentLoadShare*float64(n)) * (orderOverhead.Seconds() + load) / load
 	return max(1, min(int(orders), n/2))
 }
 
-// OrderDuration returns the time of an order to a runner with few runs to end.
+// OrderDuration returns the expected duration of an order to a target with few runs to end.
 func (l *WeightLoads) OrderDuration() time.Duration {
 	return orderOverhead + l.LoadDuration()
 }
 
-// LoadDuration returns the time of a load.
+// LoadDuration returns the expected duration of a load.
 func (l *WeightLoads) LoadDuration() time.Duration {
 	if l.IdleDuration == 0 {
 		return defaultLoadDuration
--- a/health/health.go
+++ b/health/health.go
@@ -52,7 +52,8 @@
 	t.nextProbeAt = now.Add(t.probeInterval)
 }
 
-// RecordConnectFailure records a failure to connect, which makes the target dead at once.
+// RecordConnectFailure records a failure to connect. It makes the target dead at once, as a
+// target that does not respond at all needs no second failure.
 func (t *Tracker) RecordConnectFailure(now time.Time) {
 	t.failures = max(t.failures, deadThreshold-1)
 	t.RecordFailure(now)
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -7,8 +7,8 @@
 
 var start = time.Unix(1000, 0)
 
-// A target that fails is asked less, then left alone, probed one request at a
-// time, and given its work back by degrees.
+// Guards against a failing target that keeps its full load, gets several probes at a time,
+// or gets all its load back at once.
 func TestStateTransitions(t *testing.T) {
 	var target Tracker
 	if target.State(start) != Live || !target.AllowRequest(start) {
--- a/poison/change.go
+++ b/poison/change.go
@@ -6,10 +6,9 @@
 	"acaciakeel/fleet"
 )
 
-// ChangeKind is a kind of change; each is a label of the counter of contents.
+// ChangeKind is the kind of a change. Its values are labels of the contents counter.
 type ChangeKind string
 
-// The kinds of changes.
 const (
 	Suspected ChangeKind = "suspected"
 	Convicted ChangeKind = "convicted"
@@ -19,25 +18,26 @@
 	Dropped   ChangeKind = "dropped"
 )
 
-// Origin says how a process came to know.
+// Origin is where a process learned of a crash or verdict.
 type Origin string
 
-// The origins of what is known.
 const (
-	// OriginLocal by this process itself, Told by another, Kept in the platform's store.
+	// OriginLocal is an observation of this process, OriginPeer a report of another
+	// process, OriginStore an entry of the platform's store.
 	OriginLocal Origin = "seen"
 	OriginPeer  Origin = "told"
 	OriginStore Origin = "kept"
 )
 
-// Change is one change of what is held of a content.
+// Change is a change to the record of one content.
 type Change struct {
 	Case
 	Kind   ChangeKind
 	Origin Origin
-	// Target is the life whose end made the change; empty where none did.
+	// Target is the instance whose crash caused the change; empty if none did.
 	Target fleet.Instance
-	// Crashes is how many ends count by now, Until when a verdict lapses.
+	// Crashes is the number of counted crashes after the change, Until the expiry of the
+	// verdict.
 	Crashes int
 	Until   time.Time
 }
--- a/poison/evaluate.go
+++ b/poison/evaluate.go
@@ -7,37 +7,36 @@
 	"acaciakeel/fleet"
 )
 
-// Status is how a content stands before it is sent.
+// Status is how a content may be sent.
 type Status string
 
-// The standings.
 const (
-	// Free contents go where they are answered best.
+	// Free contents have no counted crash and are routed as usual.
 	Free Status = "free"
-	// Suspect ones go where they end the work of the fewest others, one at a time.
+	// Suspect contents are sent one request at a time, to the target where a crash would
+	// hit the fewest other requests.
 	Suspect Status = "suspect"
-	// Waiting ones are suspects of which another request is under way.
+	// Waiting contents are suspects of which another request is running.
 	Waiting Status = "waiting"
-	// Refused ones are not sent.
+	// Refused contents are not sent.
 	Refused Status = "refused"
 )
 
-// Decision is what a request may do.
+// Decision tells how a request may be sent.
 type Decision struct {
 	Status Status
-	// Crashes is how many targets ended under the content.
+	// Crashes is the number of targets that crashed while running the content.
 	Crashes int
-	// Remaining is how long the verdict holds.
+	// Remaining is the time until the verdict expires.
 	Remaining time.Duration
-	// Avoid are the targets at which other suspects are under way. Two suspects that end
-	// a target together are both suspected of it, and the proper one of them for no
-	// reason of its own.
+	// Avoid are the targets that run other suspects. If two suspects were running on a
+	// target that crashes, both would be blamed, the harmless one wrongly.
 	Avoid []fleet.Instance
 }
 
-// Evaluate says what a request with a content may do now. Clients repeat a request at
-// other processes at the same moment; one at a time, a suspect ends one target before
-// the end is known everywhere.
+// Evaluate returns how a request with the content may be sent now. Clients repeat a request
+// at several processes at the same time; running one request of a suspect at a time limits
+// the damage to one target until the crash is known to all processes.
 func (t *Table) Evaluate(content Fingerprint, now time.Time) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,7 +56,7 @@
 	return d
 }
 
-// RefusedCount returns how many contents are refused now.
+// RefusedCount returns the number of contents that are refused now.
 func (t *Table) RefusedCount(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,7 +69,8 @@
 	return n
 }
 
-// isRunning reports whether a request with a content is at a target; the caller holds mu.
+// isRunning reports whether any process has sent a request with the content to a target and
+// still waits for its response. The caller holds mu.
 func (t *Table) isRunning(content Fingerprint, now time.Time) bool {
 	if slices.ContainsFunc(t.running[content], func(a *ActiveRequest) bool { return a.target != nil }) {
 		return true
@@ -79,7 +79,7 @@
 	return ok && w.valid(now)
 }
 
-// suspectTargets returns the targets at which suspects are; the caller holds mu.
+// suspectTargets returns the targets that run suspects. The caller holds mu.
 func (t *Table) suspectTargets(now time.Time) []fleet.Instance {
 	var out []fleet.Instance
 	for _, r := range t.remoteSuspects {
@@ -93,14 +93,14 @@
 	return out
 }
 
-// ActiveRequest is one request of this process, from its arrival to its end.
+// ActiveRequest is a request of this process, from its arrival until it is finished.
 type ActiveRequest struct {
 	table   *Table
 	content Fingerprint
 	target  *fleet.Instance
 }
 
-// Track counts a request in.
+// Track registers a request; the caller calls Finish when it is done.
 func (t *Table) Track(content Fingerprint) *ActiveRequest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,12 +109,13 @@
 	return a
 }
 
-// SentTo notes the target to which the request is sent.
+// SentTo records the target to which the request is sent.
 func (a *ActiveRequest) SentTo(target fleet.Instance) {
 	a.setTarget(&target)
 }
 
-// setTarget notes where the request is, and has it told of a suspect.
+// setTarget records the target that runs the request, nil if none does. For a suspect the
+// change is scheduled to be reported to the other processes.
 func (a *ActiveRequest) setTarget(target *fleet.Instance) {
 	a.table.mu.Lock()
 	defer a.table.mu.Unlock()
@@ -130,13 +131,14 @@
 	}
 }
 
-// LeftTarget notes that the request is at no target. Where it is a suspect's, the others hear
-// it with the next pulse: a repeat waits no longer than the request is tried.
+// LeftTarget records that no target runs the request any more. For a suspect the other
+// processes learn it with the next pulse, so that a waiting repetition is not delayed
+// longer than needed.
 func (a *ActiveRequest) LeftTarget() {
 	a.setTarget(nil)
 }
 
-// Finish counts the request out.
+// Finish unregisters the request.
 func (a *ActiveRequest) Finish() {
 	t := a.table
 	t.mu.Lock()
--- a/poison/fingerprint.go
+++ b/poison/fingerprint.go
@@ -1,7 +1,7 @@
-// Package poison keeps what is known of requests that end the targets which run
-// them. Such a request comes again under other ids, at any process, so that nothing
-// that counts by id or by process bounds it; what it asks is the same. It is pure:
-// time, evidence and other processes' words come in, a verdict and news go out.
+// Package poison tracks requests that crash the targets that run them. Clients resend such
+// a request under new ids and through other processes, so no per-id or per-process limit
+// bounds the damage; only its content stays the same. The package does no I/O and has no
+// clock: callers pass in the time, the evidence and the reports of other processes.
 package poison
 
 import (
@@ -11,28 +11,26 @@
 	"fmt"
 )
 
-// Fingerprint names what a request asks, whoever brings it and as often as it comes.
-// It is wide enough that nobody finds a second content with the fingerprint of
-// another customer's.
+// Fingerprint is a hash of a request's content, equal for every repetition of the request.
+// It is long enough that a collision with another customer's content can't be constructed.
 type Fingerprint [16]byte
 
-// Content is what stays the same when a request comes again. Its id, the time that
-// it has left, the event after which a stream goes on and its key (a customer may
-// have several) differ from one to the next.
+// Content is the part of a request that stays the same when the request is repeated.
+// Excluded are the request id, the remaining deadline, the last event id of a resumed
+// stream and the API key, as a customer may have several.
 type Content struct {
 	Method string
 	Host   string
-	// URI is path and query.
+	// URI is the path and the query.
 	URI      string
 	Customer string
 	Body     []byte
 }
 
-// Fingerprint returns the content's.
 func (c Content) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, field := range [][]byte{[]byte(c.Method), []byte(c.Host), []byte(c.URI), []byte(c.Customer), c.Body} {
-		// With its length before it, no field can pass for the end of another.
+		// The length prefix keeps field boundaries unambiguous.
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(field)))
 		h.Write(length[:])
@@ -41,16 +39,16 @@
 	return Fingerprint(h.Sum(nil)[:16])
 }
 
-// String returns the fingerprint as logs and commands show it.
+// String returns the hexadecimal form that logs and commands show.
 func (f Fingerprint) String() string {
 	return hex.EncodeToString(f[:])
 }
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the output of Fingerprint.String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != len(Fingerprint{}) {
-		return Fingerprint{}, fmt.Errorf("%q is no fingerprint; want 32 hexadecimal digits as the log shows them", text)
+		return Fingerprint{}, fmt.Errorf("invalid fingerprint %q: want 32 hexadecimal digits, as shown in the log", text)
 	}
 	return Fingerprint(raw), nil
 }
--- a/poison/fingerprint_test.go
+++ b/poison/fingerprint_test.go
@@ -2,9 +2,8 @@
 
 import "testing"
 
-// A request comes again under another id, or with another key of the same customer:
-// it must be known again. Another customer's request with the same words, or one whose
-// fields only join to the same text, must not be refused for it.
+// Guards against a repeated request that is not recognised under another id or key, and
+// against a harmless one refused because its fields join to the same text.
 func TestFingerprintIdentifiesContent(t *testing.T) {
 	one := Content{Method: "POST", Host: "a.example", URI: "/p/1?x=1", Customer: "c1", Body: []byte("body")}
 	same := one
--- a/poison/reports.go
+++ b/poison/reports.go
@@ -8,44 +8,49 @@
 	"acaciakeel/fleet"
 )
 
-// Figures of what processes tell each other.
+// Limits of the reports between processes.
 const (
-	// crashRepeats is in how many pulses an end is told: a datagram may be lost, and a
-	// second loss in a row costs one more target at most.
+	// crashRepeats is the number of pulses in which a crash is reported, because a datagram
+	// may be lost. If both are lost, at most one more target crashes.
 	crashRepeats = 2
-	// reportRate is how much is told on the average, in bytes a second to each process
-	// that listens, and newsBurst at once. Where a dozen targets end together, hundreds
-	// of requests are suspect; told in full and with each pulse, they fill the links of
-	// small machines, and requests wait seconds on those. Those that ended the most targets go first, the newest of them.
+	// reportRate is the mean rate of reports in bytes per second to each receiving process,
+	// reportBurst the most at once. When a dozen targets crash together, hundreds of
+	// requests become suspects; reporting all of them with every pulse would fill the links
+	// of small VMs and delay requests there by seconds. Contents with the most crashes are
+	// reported first, the newest of them before the others.
 	reportRate  = 6 << 10
 	reportBurst = 4 << 10
-	// maxResendAge is how old a first end may be that a process which starts is told of.
+	// maxResendAge is the age up to which a content with a single crash is reported to a
+	// process that has just started.
 	maxResendAge = 10 * time.Second
-	// bootstrapBytes is about how much a process is told that is not among the members yet.
+	// bootstrapBytes is the approximate size of the reports to a process that is not yet a
+	// member.
 	bootstrapBytes = 1 << 10
-	// reportBytes is about what a report takes, and endBytes what each end adds.
+	// reportBytes is the approximate size of a report without crashes, crashBytes the size
+	// of each crash.
 	reportBytes = 30
 	crashBytes  = 28
 )
 
-// Report is what one process tells of a content. Reports can be heard in any order and
-// as often as may be: ends are a set, and one that was discharged stays so.
+// Report is what one process knows of a content. Reports may arrive in any order and
+// repeatedly: crashes form a set, and a cleared crash stays cleared.
 type Report struct {
 	Case
 	Crashes []Crash
-	// Remaining is how much longer a verdict holds; 0 is none.
+	// Remaining is the time until the verdict expires; 0 if there is none.
 	Remaining time.Duration
-	// RunningOn is the target at which a request with the content is under way; nil where none is.
+	// RunningOn is a target that runs a request with the content; nil if none does.
 	RunningOn *fleet.Instance
 }
 
-// Crash is a life that ended under a content.
+// Crash is a target instance that crashed while running a content. A cleared crash does not
+// count.
 type Crash struct {
 	Instance fleet.Instance
 	Cleared  bool
 }
 
-// NextReports returns what there is to tell now.
+// NextReports returns the reports to send with this pulse, within the send budget.
 func (t *Table) NextReports(now time.Time) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,8 +67,8 @@
 	return out
 }
 
-// selectReports returns reports of those records that are wanted, as many as there is room for,
-// and the room that is left; the caller holds mu.
+// selectReports returns reports of the records that include accepts, up to a budget in
+// bytes, and what remains of the budget. The caller holds mu.
 func (t *Table) selectReports(budget int, now time.Time, include func(*record) bool) ([]Report, int) {
 	var all []*record
 	for _, r := range t.records {
@@ -86,8 +91,8 @@
 	return out, budget
 }
 
-// BootstrapReports returns what matters most of what is held, for a process that the others do not
-// tell anything yet: about a packet.
+// BootstrapReports returns the most important reports, about one packet, for a process that
+// receives no pulses yet.
 func (t *Table) BootstrapReports(now time.Time) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,20 +100,20 @@
 	return out
 }
 
-// Version changes whenever an end is held against a content.
+// Version returns a number that increases with each crash added to a content.
 func (t *Table) Version() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.version
 }
 
-// worthResending reports whether a process that starts should know of a content.
+// worthResending reports whether a process that has just started needs the record.
 func (r *record) worthResending(now time.Time) bool {
 	n := r.countedCrashes()
 	return n > 1 || n == 1 && now.Sub(r.updatedAt) < maxResendAge
 }
 
-// bytes is about how much a report takes.
+// bytes returns the approximate encoded size.
 func (r Report) bytes() int {
 	n := reportBytes + crashBytes*len(r.Crashes) + len(r.Service) + len(r.Customer) + len(r.Request)
 	if r.RunningOn != nil {
@@ -117,8 +122,8 @@
 	return n
 }
 
-// report returns what is told of a content. Whose it is matters to the others once more
-// than one target has ended.
+// report returns the record as a report. Service, customer and request are included only
+// from the second crash on, when other processes may have to show or store them.
 func (r *record) report(runningOn *fleet.Instance, now time.Time) Report {
 	out := Report{Case: r.Case, RunningOn: runningOn, Remaining: max(0, r.until.Sub(now))}
 	if len(r.crashes) < 2 {
@@ -130,8 +135,8 @@
 	return out
 }
 
-// localTarget returns a target at which this process has a request with a content, or
-// nil; the caller holds mu.
+// localTarget returns a target to which this process has sent a request with the content,
+// or nil. The caller holds mu.
 func (t *Table) localTarget(content Fingerprint) *fleet.Instance {
 	for _, a := range t.running[content] {
 		if a.target != nil {
@@ -141,8 +146,9 @@
 	return nil
 }
 
-// ScheduleResend has what is held told once more, for a process that has just been heard for the
-// first time: one that starts knows of no suspects.
+// ScheduleResend schedules the relevant records to be reported once more. It is called when
+// a process is heard for the first time, as a process that has just started knows no
+// suspects.
 func (t *Table) ScheduleResend(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -153,7 +159,7 @@
 	}
 }
 
-// ApplyReports takes what other processes told.
+// ApplyReports merges reports of another process.
 func (t *Table) ApplyReports(all []Report, now time.Time) {
 	t.mu.Lock()
 	defer t.unlockAndNotify()
@@ -167,8 +173,8 @@
 	}
 }
 
-// applyReport merges a report into what is held; the caller holds mu. A verdict that others
-// reached holds here as long as there, and no longer than the ends that it rests on.
+// applyReport merges a report into the table. The caller holds mu. A verdict of another
+// process holds here as long as there, and only while enough of its crashes count.
 func (t *Table) applyReport(report Report, origin Origin, now time.Time) {
 	for _, e := range report.Crashes {
 		if e.Cleared {
@@ -177,8 +183,8 @@
 	}
 	addCrash := t.countCrash
 	if report.verdictLapsed() {
-		// It is on trial there. Taken for ends that have just been seen, they would begin
-		// a verdict anew at whoever starts, with no end since the last one.
+		// The verdict has expired at the sender. Adding the crashes must not start a new
+		// verdict here, as no target has crashed since.
 		addCrash = func(c Case, instance fleet.Instance, origin Origin, now time.Time) {
 			t.addCrash(c, instance, origin, now)
 		}
@@ -198,7 +204,8 @@
 	}
 }
 
-// verdictLapsed reports whether the ends are enough for a verdict that holds no more.
+// verdictLapsed reports whether the report has enough counted crashes for a verdict, but
+// the verdict has expired.
 func (r Report) verdictLapsed() bool {
 	n := 0
 	for _, e := range r.Crashes {
@@ -209,8 +216,8 @@
 	return n >= CrashThreshold && r.Remaining <= 0
 }
 
-// clearCrash takes that an end counts no more; the caller holds mu. It is kept also
-// where the end is not known: its news may come later than that of its clearCrash.
+// clearCrash excludes a crash from the count. The caller holds mu. A crash that is not
+// known yet is added as cleared, because its report may arrive after that of its clearing.
 func (t *Table) clearCrash(c Case, instance fleet.Instance, now time.Time) {
 	r := t.record(c, now)
 	for i, e := range r.crashes {
--- a/poison/table.go
+++ b/poison/table.go
@@ -10,117 +10,122 @@
 	"acaciakeel/fleet"
 )
 
-// Figures of the verdict.
+// Thresholds and times of verdicts.
 const (
-	// CrashThreshold is how many targets may end under one content before it is refused. One
-	// end says little: all of the sixteen or more requests that a target runs see it.
-	// After the second a proper request still may have been there by chance, on a day on
-	// which many targets end; by three, each begun after the end before it, none was
-	// seen to be.
+	// CrashThreshold is the number of targets that may crash while running a content before
+	// it is refused. One crash is weak evidence, as all of the sixteen or more requests on
+	// a target see it. After two, a harmless request may still have been present by chance
+	// on a day with many crashes. After three, each of a request sent after the previous
+	// crash, no harmless request was affected.
 	CrashThreshold = 3
-	// initialVerdictDuration is how long the first verdict on a content holds: well over the time for
-	// which clients repeat, and about what an operator takes to look. It doubles up to
-	// mostTerm with each end on trial after it.
+	// initialVerdictDuration is the duration of the first verdict on a content: well over
+	// the time for which clients retry, and about what an operator needs to react. It
+	// doubles with each crash after an expired verdict, up to maxVerdictDuration.
 	initialVerdictDuration = 10 * time.Minute
 	maxVerdictDuration     = 24 * time.Hour
-	// suspicionTTL is how long a suspicion is kept: a request may come again after minutes.
+	// suspicionTTL is how long a suspicion is kept: a request may be repeated minutes
+	// later.
 	suspicionTTL = 10 * time.Minute
-	// evidenceTimeout is how long a broken answer waits for a sign that its target ended: one
-	// that starts again at once shows by its next word, and the list loses a silent one
-	// three heartbeats after its last, three to four seconds.
+	// evidenceTimeout is how long a broken response waits for evidence that its target
+	// crashed. A target that restarts at once shows it by its next message; a silent one
+	// disappears from the target list three heartbeats after its last, which takes three to
+	// four seconds.
 	evidenceTimeout = 6 * time.Second
-	// remoteRunTTL is for how long another process's word that a suspect is under way
-	// holds, unless it says before that the run has ended: about a request.
+	// remoteRunTTL is how long a report that another process runs a suspect is valid,
+	// unless a later report says that the run has ended: about the duration of a request.
 	remoteRunTTL = time.Second
 )
 
-// Bounds of what is kept: a hostile caller may send another content each time.
+// Bounds on memory: a hostile client may send a new content with every request.
 const (
-	// maxRecords is how many contents are kept, about 300 bytes each, and customerMost
-	// how many of one customer. Where there are more, the customer's, or all, that
-	// ended the fewest targets go first, the oldest of them.
+	// maxRecords bounds the records, about 300 bytes each, and maxRecordsPerCustomer those
+	// of one customer. At a bound the record with the fewest crashes is evicted, the oldest
+	// of several, from the customer's records or from all.
 	maxRecords            = 4096
 	maxRecordsPerCustomer = 512
-	// maxBrokenResponses is how many broken answers wait for evidence: those of a second in
-	// which a whole data centre falls away.
+	// maxBrokenResponses bounds the broken responses that wait for evidence: those of a
+	// second in which a whole data centre fails.
 	maxBrokenResponses = 4096
-	// maxCrashesPerRecord is how many ends are kept of one content, the newest: one that is served
-	// again and again between ends has discharged ones, which must be known if somebody
-	// tells of them late.
+	// maxCrashesPerRecord bounds the crashes of a content; the newest are kept. Cleared
+	// crashes of a content that succeeds between crashes must stay known, as another
+	// process may report them late.
 	maxCrashesPerRecord = 32
 )
 
-// Case is one request as far as a verdict needs it.
+// Case identifies a request for logs and verdicts.
 type Case struct {
 	Content  Fingerprint
 	Service  string
 	Customer string
-	// Request is the id under which it came this time.
+	// Request is the id of the latest request with the content.
 	Request string
 }
 
-// record is what is known of one content.
+// record is the state of one content.
 type record struct {
 	Case
-	// crashes are the lives of targets that ended while they ran it.
+	// crashes are the target instances that crashed while running the content.
 	crashes   []crashEntry
 	updatedAt time.Time
-	// until is when the verdict lapses, and term how long it holds; zero before the
-	// first.
+	// until is when the verdict expires and duration how long it holds; zero before the
+	// first verdict.
 	until    time.Time
 	duration time.Duration
-	// expiryReported is set once the lapse has been told.
+	// expiryReported is set once the expiry has been passed to onChange.
 	expiryReported bool
-	// pendingSends counts the pulses in which it is still to be told.
+	// pendingSends is the number of pulses in which the record is still to be reported.
 	pendingSends int
-	// needsWrite is set where this process is to write to the platform's store what became
-	// of the content, kept where that has a verdict, as of a revision.
+	// needsWrite is set if this process has to write the state of the content to the
+	// platform's store. inStore is set if the store has a verdict, at the given revision.
 	needsWrite bool
 	inStore    bool
 	revision   int64
 }
 
-// crashEntry is a life that ended under a content. One that was discharged, because the
-// content has been served since or an operator lifted the verdict, counts no more,
-// whoever tells of it later.
+// crashEntry is a target instance that crashed while running a content. It is cleared, and
+// then no longer counts whoever reports it, when the content has succeeded since or an
+// operator has lifted the verdict.
 type crashEntry struct {
 	instance fleet.Instance
 	cleared  bool
-	// learnedAt is when this process came to know of it.
+	// learnedAt is when this process learned of the crash.
 	learnedAt time.Time
 }
 
-// brokenResponse is an answer that its target broke off.
+// brokenResponse is a response that the target broke off.
 type brokenResponse struct {
 	request  Case
 	instance fleet.Instance
-	// sentAt is when the request was sent there, brokenAt when it broke off.
+	// sentAt is when the request was sent, brokenAt when the response broke off.
 	sentAt, brokenAt time.Time
 }
 
-// Table keeps the contents under which targets ended. It is safe for concurrent use.
+// Table holds the contents that were running on targets when these crashed. It is safe for
+// concurrent use.
 type Table struct {
 	mu      sync.Mutex
 	records map[Fingerprint]*record
-	// running are this process's requests, by content, tried those suspects of them that
-	// are at a target, and elsewhere those that others say they have under way.
+	// running are the requests of this process by content, localSuspects the targets of
+	// those that are suspects, and remoteSuspects the runs of suspects that other processes
+	// report.
 	running        map[Fingerprint][]*ActiveRequest
 	localSuspects  map[*ActiveRequest]fleet.Instance
 	remoteSuspects map[Fingerprint]remoteRun
-	// brokenResponses are the answers that wait for evidence, and ended the lives of which it came.
+	// brokenResponses wait for evidence of a crash; crashedAt holds the instances for which
+	// evidence has arrived.
 	brokenResponses []brokenResponse
 	crashedAt       map[fleet.Instance]time.Time
-	// sendBudget is how many bytes may be told, as of toldAt.
+	// sendBudget is the number of bytes that may be sent, as of sendBudgetAt.
 	sendBudget   int
 	sendBudgetAt time.Time
-	// version counts the ends that were added.
+	// version counts the crashes that were added.
 	version int
-	// onChange is told of each change, outside of the lock.
+	// onChange is called with each change, without the lock held.
 	onChange func(Change)
 	changes  []Change
 }
 
-// remoteRun is another process's word that a suspect is at a target.
+// remoteRun is a report of another process that it has sent a suspect to a target.
 type remoteRun struct {
 	target     fleet.Instance
 	reportedAt time.Time
@@ -130,7 +135,7 @@
 	return now.Sub(r.reportedAt) <= remoteRunTTL
 }
 
-// New returns an empty table. It tells changed of each change; changed may be nil.
+// New returns an empty table that calls onChange, unless nil, with each change.
 func New(onChange func(Change)) *Table {
 	return &Table{
 		records: map[Fingerprint]*record{}, running: map[Fingerprint][]*ActiveRequest{}, localSuspects: map[*ActiveRequest]fleet.Instance{}, remoteSuspects: map[Fingerprint]remoteRun{},
@@ -138,7 +143,8 @@
 	}
 }
 
-// unlockAndNotify tells what changed, and is how each method that changes something ends.
+// unlockAndNotify releases mu and passes the collected changes to onChange. Methods that
+// change records defer it in place of mu.Unlock.
 func (t *Table) unlockAndNotify() {
 	changes := t.changes
 	t.changes = nil
@@ -151,8 +157,8 @@
 	}
 }
 
-// RecordBrokenResponse takes that a target broke off its answer to a request that it was sent at began.
-// That counts once the target is known to have ended.
+// RecordBrokenResponse records that a target broke off the response to a request sent at
+// sentAt. It counts as a crash once there is evidence that the target has crashed.
 func (t *Table) RecordBrokenResponse(c Case, instance fleet.Instance, sentAt, now time.Time) {
 	t.mu.Lock()
 	defer t.unlockAndNotify()
@@ -170,10 +176,10 @@
 	t.brokenResponses = append(t.brokenResponses, b)
 }
 
-// countLocalCrash counts an end that this process saw; the caller holds mu. A target may have
-// started again with nobody saying so, such as while the store is away: a request that
-// was sent there after its last end was known ran in a later life, which is told apart
-// by that moment.
+// countLocalCrash counts a crash observed by this process. The caller holds mu. A target
+// may have restarted without a new entry in the list, for instance while the store is
+// unavailable. A request sent after the target's last known crash ran in a later instance,
+// which gets the time of sending as its birth to distinguish it.
 func (t *Table) countLocalCrash(b brokenResponse, now time.Time) {
 	instance := b.instance
 	if r := t.records[b.request.Content]; r != nil && r.hasCrash(instance) && b.sentAt.After(r.lastCrash(instance.ID)) {
@@ -182,14 +188,15 @@
 	t.countCrash(b.request, instance, OriginLocal, now)
 }
 
-// AwaitsEvidence reports whether broken answers of a life wait for evidence.
+// AwaitsEvidence reports whether broken responses of an instance wait for evidence of a
+// crash.
 func (t *Table) AwaitsEvidence(instance fleet.Instance) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.ContainsFunc(t.brokenResponses, func(b brokenResponse) bool { return b.instance.Matches(instance) })
 }
 
-// RecordCrash takes the evidence that a life of a target has ended, and not as planned.
+// RecordCrash records evidence that a target instance ended unplanned.
 func (t *Table) RecordCrash(instance fleet.Instance, now time.Time) {
 	t.mu.Lock()
 	defer t.unlockAndNotify()
@@ -204,7 +211,8 @@
 	})
 }
 
-// dropStaleEvidence forgets what waited for evidence too long; the caller holds mu.
+// dropStaleEvidence removes broken responses and crashes that found no match within
+// evidenceTimeout. The caller holds mu.
 func (t *Table) dropStaleEvidence(now time.Time) {
 	stale := func(at time.Time) bool { return now.Sub(at) > evidenceTimeout }
 	t.brokenResponses = slices.DeleteFunc(t.brokenResponses, func(b brokenResponse) bool { return stale(b.brokenAt) })
@@ -215,8 +223,8 @@
 	}
 }
 
-// countCrash adds an end to a content's, and begins a verdict where it is one too many; the
-// caller holds mu.
+// countCrash adds a crash to a content and starts a verdict if the threshold is reached.
+// The caller holds mu.
 func (t *Table) countCrash(c Case, instance fleet.Instance, origin Origin, now time.Time) {
 	r, added := t.addCrash(c, instance, origin, now)
 	if added && r.countedCrashes() >= CrashThreshold && !now.Before(r.until) {
@@ -224,8 +232,7 @@
 	}
 }
 
-// addCrash adds an end to a content's, and reports whether it was not known; the caller holds
-// mu.
+// addCrash adds a crash to a content and reports whether it was new. The caller holds mu.
 func (t *Table) addCrash(c Case, instance fleet.Instance, origin Origin, now time.Time) (r *record, added bool) {
 	r = t.record(c, now)
 	if r.hasCrash(instance) {
@@ -241,7 +248,7 @@
 	return r, true
 }
 
-// convict begins a verdict; the caller holds mu.
+// convict starts a verdict. The caller holds mu.
 func (t *Table) convict(r *record, c Case, instance fleet.Instance, origin Origin, now time.Time) {
 	r.duration = min(max(2*r.duration, initialVerdictDuration), maxVerdictDuration)
 	r.until, r.expiryReported, r.inStore = now.Add(r.duration), false, origin == OriginStore
@@ -254,8 +261,8 @@
 	t.changes = append(t.changes, change)
 }
 
-// record returns the record of a content, new where there was none; the caller holds
-// mu. What is known of its customer and service stays known.
+// record returns the record of a content, creating it if needed. The caller holds mu. The
+// customer and service of a record are not overwritten once known.
 func (t *Table) record(c Case, now time.Time) *record {
 	r := t.records[c.Content]
 	if r == nil {
@@ -269,8 +276,8 @@
 	return r
 }
 
-// evictIfFull drops what may go where there are too many records, of a customer or at
-// all; the caller holds mu.
+// evictIfFull evicts one record if the customer or the table has reached its bound. The
+// caller holds mu.
 func (t *Table) evictIfFull(customer string) {
 	sameCustomer := func(r *record) bool { return r.Customer == customer }
 	own := 0
@@ -302,7 +309,7 @@
 	return slices.ContainsFunc(r.crashes, func(e crashEntry) bool { return e.instance.Matches(instance) })
 }
 
-// lastCrash returns when the last end of a target came to be known.
+// lastCrash returns when the last crash of a target became known.
 func (r *record) lastCrash(target string) time.Time {
 	var last time.Time
 	for _, e := range r.crashes {
@@ -320,7 +327,7 @@
 	}
 }
 
-// countedCrashes returns how many ends count.
+// countedCrashes returns the number of crashes that are not cleared.
 func (r *record) countedCrashes() int {
 	n := 0
 	for _, e := range r.crashes {
@@ -335,7 +342,7 @@
 	return r.countedCrashes() >= CrashThreshold && now.Before(r.until)
 }
 
-// clearCrashes has no end count any more, and reports whether any did.
+// clearCrashes clears all crashes and reports whether any of them counted.
 func (r *record) clearCrashes() bool {
 	hadCounted := r.countedCrashes() > 0
 	for i := range r.crashes {
@@ -344,8 +351,8 @@
 	return hadCounted
 }
 
-// RecordSuccess takes that a target gave a whole good answer to a content: what ended the
-// others was not this.
+// RecordSuccess records that a target answered a content completely and successfully, which
+// shows that the content did not cause the earlier crashes.
 func (t *Table) RecordSuccess(content Fingerprint, now time.Time) {
 	t.mu.Lock()
 	defer t.unlockAndNotify()
@@ -359,13 +366,13 @@
 	t.addChange(Change{Kind: Cleared, Origin: OriginLocal}, r.Case)
 }
 
-// clearVerdict ends a verdict. What the store keeps of it has to be lifted there too.
+// clearVerdict ends the verdict. If the store has it, it has to be lifted there too.
 func (r *record) clearVerdict() {
 	r.needsWrite = r.inStore
 	r.until, r.duration = time.Time{}, 0
 }
 
-// Sweep forgets what is old.
+// Sweep reports expired verdicts and removes outdated records.
 func (t *Table) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.unlockAndNotify()
--- a/poison/table_test.go
+++ b/poison/table_test.go
@@ -20,7 +20,7 @@
 	return Case{Content: Content{URI: name}.Fingerprint(), Service: "lm", Customer: "c1", Request: name}
 }
 
-// crashTarget has a target end under the contents given.
+// crashTarget crashes a target while it runs the given contents.
 func crashTarget(t *Table, target fleet.Instance, now time.Time, all ...Case) {
 	for _, c := range all {
 		t.RecordBrokenResponse(c, target, now, now)
@@ -35,8 +35,8 @@
 	}
 }
 
-// A broken answer alone proves nothing: a target that fails part of its requests, an
-// answer that is spoilt on its way and an order that ends streams look the same.
+// Guards against suspecting contents by broken responses alone: failing targets, damaged
+// responses and drained streams look the same.
 func TestBrokenResponsesAloneCreateNoSuspect(t *testing.T) {
 	table, c := New(nil), caseOf("x")
 	for i := range 10 {
@@ -47,10 +47,10 @@
 	wantStatus(t, table, c, start.Add(10*time.Second), Free)
 }
 
-// Sixteen requests see a target end, and one of them ended it. It ends the next target
-// alone, and a third; the others are served meanwhile, and are not refused at any time.
+// Guards against a crashing request that is never refused, and against refusing the other
+// fifteen that shared its first target and succeeded later.
 func TestCrashingContentAmongManyIsRefused(t *testing.T) {
-	table, crasher := New(nil), caseOf("guilty")
+	table, crasher := New(nil), caseOf("crasher")
 	all := []Case{crasher}
 	for i := range 15 {
 		all = append(all, caseOf(fmt.Sprint("other ", i)))
@@ -71,12 +71,12 @@
 		t.Errorf("%d contents count as refused", n)
 	}
 	if j := table.Evaluate(crasher.Content, start.Add(3*time.Second)); j.Crashes != CrashThreshold || j.Remaining != initialVerdictDuration-time.Second {
-		t.Errorf("judged %+v", j)
+		t.Errorf("decision %+v", j)
 	}
 }
 
-// A rack falls away with many requests of one hot content on its targets; others with
-// that content are served elsewhere. None of them may be refused for it.
+// Guards against refusing a popular content because a rack fails with many of its requests,
+// while others with that content succeed elsewhere.
 func TestSuccessClearsHotContent(t *testing.T) {
 	table, hot := New(nil), caseOf("hot")
 	for i := range 5 {
@@ -85,7 +85,7 @@
 	wantStatus(t, table, hot, start, Refused)
 	table.RecordSuccess(hot.Content, start.Add(100*time.Millisecond))
 	wantStatus(t, table, hot, start.Add(100*time.Millisecond), Free)
-	// The late words of others on the same ends do not bring the verdict back.
+	// Late reports of the same crashes do not restore the verdict.
 	other := New(nil)
 	for i := range 5 {
 		crashTarget(other, instance(i), start, hot)
@@ -94,8 +94,8 @@
 	wantStatus(t, table, hot, start.Add(200*time.Millisecond), Free)
 }
 
-// A client sends the same request to several processes at the same moment. While one is
-// tried the others wait, here and at the process that was told.
+// Guards against several targets crashing at once because a client sends the same request
+// to several processes at the same moment.
 func TestSuspectsRunOneAtATime(t *testing.T) {
 	table, other, c := New(nil), New(nil), caseOf("x")
 	crashTarget(table, instance(0), start, c)
@@ -106,14 +106,14 @@
 	other.ApplyReports(table.NextReports(start), start)
 	wantStatus(t, other, c, start, Waiting)
 	if avoid := table.Evaluate(caseOf("y").Content, start).Avoid; avoid != nil {
-		t.Errorf("a free content is kept apart from %v", avoid)
+		t.Errorf("a free content has to avoid %v", avoid)
 	}
 	y := caseOf("y")
 	crashTarget(other, instance(2), start, y)
 	if apart := other.Evaluate(y.Content, start).Avoid; len(apart) != 1 || apart[0] != instance(1) {
-		t.Errorf("another suspect is kept apart from %v", apart)
+		t.Errorf("another suspect has to avoid %v", apart)
 	}
-	// A third one at the same target takes nothing from the word on the first.
+	// A third suspect at the same target does not affect the report of the first.
 	z := caseOf("z")
 	crashTarget(table, instance(0), start, z)
 	third := table.Track(z.Content)
@@ -133,8 +133,8 @@
 	}
 }
 
-// An answer is spoilt, its client sends the request again and is served; seconds later the
-// target that spoilt it ends. What was served since is not held to that.
+// Guards against blaming a content that succeeded on retry for a later crash of the target
+// that broke off the first response.
 func TestCrashAfterSuccessIsNotCounted(t *testing.T) {
 	table, c := New(nil), caseOf("x")
 	table.RecordBrokenResponse(c, instance(0), start, start)
@@ -143,8 +143,8 @@
 	wantStatus(t, table, c, start.Add(2*time.Second), Free)
 }
 
-// The evidence of an end comes in either order with the broken answers, and not seconds
-// later: what ends then is another matter.
+// Guards against evidence that counts in only one order, and against counting a crash that
+// comes seconds after the broken response.
 func TestCrashEvidenceBeforeOrAfterBrokenResponse(t *testing.T) {
 	table, early, late := New(nil), caseOf("early"), caseOf("late")
 	table.RecordCrash(instance(0), start)
@@ -152,14 +152,14 @@
 	wantStatus(t, table, early, start.Add(10*time.Millisecond), Suspect)
 	table.RecordBrokenResponse(late, instance(1), start, start)
 	if !table.AwaitsEvidence(instance(1)) {
-		t.Error("a broken answer waits for no evidence")
+		t.Error("the broken response does not wait for evidence")
 	}
 	table.RecordCrash(instance(1), start.Add(evidenceTimeout+time.Second))
 	wantStatus(t, table, late, start.Add(evidenceTimeout+time.Second), Free)
 }
 
-// While the store is away nobody says that a target has started again under its id. Its
-// next end under the same content is another one; the first, learnt of twice, is not.
+// Guards against counting repeated crashes of a target as one while the store is
+// unavailable and restarts are not listed, and one crash reported twice as two.
 func TestUnlistedInstancesCountSeparately(t *testing.T) {
 	table, c := New(nil), caseOf("x")
 	for i := range 3 {
@@ -168,33 +168,33 @@
 		table.RecordCrash(instance(0), sent.Add(110*time.Millisecond))
 		table.RecordBrokenResponse(c, instance(0), sent, sent.Add(120*time.Millisecond))
 		if got := table.Evaluate(c.Content, sent).Crashes; got != i+1 {
-			t.Errorf("%d ends count after %d", got, i+1)
+			t.Errorf("%d crashes counted after %d", got, i+1)
 		}
 	}
-	// Two copies in one such life are one end.
+	// Two requests broken off in the same unlisted instance are one crash.
 	sent := start.Add(3 * time.Second)
 	table.RecordBrokenResponse(c, instance(0), sent, sent.Add(100*time.Millisecond))
 	table.RecordBrokenResponse(c, instance(0), sent.Add(time.Millisecond), sent.Add(100*time.Millisecond))
 	table.RecordCrash(instance(0), sent.Add(110*time.Millisecond))
 	if got := table.Evaluate(c.Content, sent).Crashes; got != 4 {
-		t.Errorf("%d ends count after 4, the last of two copies", got)
+		t.Errorf("%d crashes counted after 4, the last with two broken responses", got)
 	}
-	// A later life that is named is the same to all who see it end.
+	// A listed instance is the same to all processes that see it crash.
 	named1, named2 := instance(0), instance(0)
 	named1.Born, named2.Born = 500, 500
 	table.RecordBrokenResponse(c, named1, sent.Add(time.Second), sent.Add(1100*time.Millisecond))
 	table.RecordCrash(named2, sent.Add(1110*time.Millisecond))
 	if got := table.records[c.Content].crashes[4].instance; got != named1 {
-		t.Errorf("the named life counts as %v", got)
+		t.Errorf("the listed instance is recorded as %v", got)
 	}
-	// What breaks off in the next life waits for evidence of its own.
+	// A response broken off in the next instance waits for its own evidence.
 	other := caseOf("other")
 	table.RecordBrokenResponse(other, instance(0), sent.Add(500*time.Millisecond), sent.Add(600*time.Millisecond))
 	wantStatus(t, table, other, sent.Add(600*time.Millisecond), Free)
 }
 
-// A verdict lapses; the content is then tried alone, and one more end renews it for
-// twice as long. Served, it is free for good.
+// Guards against a verdict that is not renewed for twice as long by a crash after its
+// expiry, or that outlives a success.
 func TestExpiredVerdictBecomesSuspicion(t *testing.T) {
 	var kinds []ChangeKind
 	table := New(func(c Change) { kinds = append(kinds, c.Kind) })
@@ -207,7 +207,7 @@
 	wantStatus(t, table, c, later, Suspect)
 	crashTarget(table, instance(3), later, c)
 	if j := table.Evaluate(c.Content, later); j.Status != Refused || j.Remaining != 2*initialVerdictDuration {
-		t.Errorf("judged %+v", j)
+		t.Errorf("decision %+v", j)
 	}
 	table.RecordSuccess(c.Content, later)
 	wantStatus(t, table, c, later, Free)
@@ -216,17 +216,16 @@
 		counts[w]++
 	}
 	if counts[Convicted] != 2 || counts[Expired] != 1 || counts[Cleared] != 1 || counts[Suspected] != 4 {
-		t.Errorf("told %v", counts)
+		t.Errorf("changes %v", counts)
 	}
 	table.Sweep(later.Add(suspicionTTL + time.Second))
 	if len(table.records) != 0 {
-		t.Errorf("%d records are kept for ever", len(table.records))
+		t.Errorf("%d records are never removed", len(table.records))
 	}
 }
 
-// An entry starts just after a verdict has lapsed, and finds it in the store, or hears of
-// it from another. The content is to be tried, as everywhere; taken for three ends that
-// have just been seen, it was refused there for ten minutes more, with no new end.
+// Guards against a process that starts after a verdict has expired, learns of it from the
+// store or a peer, and refuses the content for ten more minutes without a new crash.
 func TestReportsDoNotRenewExpiredVerdict(t *testing.T) {
 	table, c := New(nil), caseOf("x")
 	for i := range 3 {
@@ -244,10 +243,10 @@
 	wantStatus(t, fromPeer, c, later, Refused)
 }
 
-// A hostile customer sends another content each time. What is kept of it is bounded,
-// and neither a verdict nor other customers' suspects go for it.
+// Guards against unbounded memory when a hostile customer sends a new content each time,
+// and against evicting verdicts or other customers' suspects for it.
 func TestRecordsAreBounded(t *testing.T) {
-	table, crasher, other := New(nil), caseOf("guilty"), caseOf("other")
+	table, crasher, other := New(nil), caseOf("crasher"), caseOf("other")
 	other.Customer = "c2"
 	for i := range 3 {
 		crashTarget(table, instance(i), start, crasher)
@@ -261,7 +260,7 @@
 		}
 	}
 	if n := len(table.records); n > maxRecordsPerCustomer+1 {
-		t.Errorf("%d contents are kept", n)
+		t.Errorf("%d records", n)
 	}
 	wantStatus(t, table, crasher, start, Refused)
 	wantStatus(t, table, other, start, Suspect)
@@ -271,29 +270,29 @@
 		crashTarget(table, instance(5), start.Add(time.Second), c)
 	}
 	if n := len(table.records); n > maxRecords {
-		t.Errorf("%d contents are kept", n)
+		t.Errorf("%d records", n)
 	}
 	wantStatus(t, table, crasher, start, Refused)
 }
 
-// An entry is killed with all others and starts from what the store has; an operator
-// lifts the verdict there; one that is missing in the store lifts nothing.
+// Guards against verdicts lost when all processes are killed, verdicts that an operator
+// can't lift, and verdicts lifted by a missing store entry.
 func TestVerdictsSurviveInStore(t *testing.T) {
 	table, c := New(nil), caseOf("x")
 	for i := range 3 {
 		crashTarget(table, instance(i), start, c)
 	}
 	if early := table.PendingWrites(true, start); len(early) != 0 {
-		t.Errorf("%d verdicts are written before they settle", len(early))
+		t.Errorf("%d verdicts written before the delay", len(early))
 	}
 	now := start.Add(time.Second)
 	pending := table.PendingWrites(false, now)
 	if len(pending) != 1 {
-		t.Fatalf("%d verdicts are to be written", len(pending))
+		t.Fatalf("%d verdicts pending, want 1", len(pending))
 	}
 	table.MarkWritten(pending[0], 7)
 	if again := table.PendingWrites(true, now.Add(time.Minute)); len(again) != 0 {
-		t.Error("a verdict that was written is written again")
+		t.Error("a written verdict is pending again")
 	}
 	value, err := pending[0].Encode()
 	if err != nil {
@@ -316,8 +315,8 @@
 	wantStatus(t, table, c, now, Free)
 }
 
-// The process that saw the last end is killed before it writes: whoever stands in for
-// all writes what it was told.
+// Guards against losing a verdict when the process that observed the last crash is killed
+// before it writes.
 func TestStandInWritesVerdictOfCrashedProcess(t *testing.T) {
 	observer, other, c := New(nil), New(nil), caseOf("x")
 	for i := range 3 {
@@ -326,14 +325,14 @@
 	other.ApplyReports(observer.NextReports(start), start)
 	wantStatus(t, other, c, start, Refused)
 	if n := len(other.PendingWrites(false, start.Add(time.Minute))); n != 0 {
-		t.Errorf("%d verdicts are written by one who neither saw the end nor stands in", n)
+		t.Errorf("%d verdicts written by a process that neither observed the crash nor stands in", n)
 	}
 	if n := len(other.PendingWrites(true, start.Add(standInDelay))); n != 1 {
-		t.Errorf("%d verdicts are written by one who stands in", n)
+		t.Errorf("%d verdicts written by the stand-in, want 1", n)
 	}
 }
 
-// The store loses a verdict that holds: it is written anew, as one that the store never had.
+// Guards against a verdict that stays missing after the store has lost it.
 func TestLostVerdictIsRewritten(t *testing.T) {
 	table, c := New(nil), caseOf("x")
 	for i := range 3 {
@@ -344,11 +343,11 @@
 	table.MarkMissing(c.Content)
 	wantStatus(t, table, c, now, Refused)
 	if anew := table.PendingWrites(true, now); len(anew) != 1 || anew[0].Revision != 0 {
-		t.Errorf("to be written: %+v", anew)
+		t.Errorf("pending writes: %+v", anew)
 	}
 }
 
-// What clears a content while its verdict is being kept has to be kept too.
+// Guards against a stored verdict that outlives a success that came while it was written.
 func TestClearedVerdictIsLiftedInTheStore(t *testing.T) {
 	table, c := New(nil), caseOf("x")
 	for i := range 3 {
@@ -359,7 +358,7 @@
 	table.RecordSuccess(c.Content, now)
 	lifts := table.PendingWrites(false, now.Add(time.Second))
 	if len(lifts) != 1 || !lifts[0].Lifted || lifts[0].Revision != 7 {
-		t.Errorf("to be written: %+v", lifts)
+		t.Errorf("pending writes: %+v", lifts)
 	}
 }
 
@@ -367,7 +366,7 @@
 	content := caseOf("x").Content
 	for _, bad := range []string{"", "x", "[]", `{"until_unix_ms":1}`, `{"ended":[{"target":"a"},{"target":"b"}]}`, `{"ended":7}`} {
 		if _, err := DecodeVerdict(content, []byte(bad), 1, start); err == nil {
-			t.Errorf("%q was taken for a verdict", bad)
+			t.Errorf("%q was decoded as a verdict", bad)
 		}
 	}
 	far := `{"ended":[{"target":"a"},{"target":"b"},{"target":"c"}],"until_unix_ms":99999999999999}`
@@ -376,8 +375,8 @@
 	}
 }
 
-// However late, doubled and mixed their words come, processes that heard all of them
-// hold the same ends against each content.
+// Guards against processes that disagree because reports arrive late, repeated or out of
+// order.
 func TestReportsConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		contents := []Case{caseOf("a"), caseOf("b")}
@@ -420,12 +419,10 @@
 	return out
 }
 
-// A dozen targets end at the same moment, each with sixty requests of one entry. Its word
-// on them, told in full and again while they were repeated, filled half of a small
-// machine's link for seconds, and requests waited on it. What it tells is bounded; a
-// content that ended more than one target goes before the others.
+// Guards against filling a small VM's link for seconds with reports when a dozen targets
+// crash at once, each with sixty requests of one entry.
 func TestReportBandwidthIsBounded(t *testing.T) {
-	table, crasher := New(nil), caseOf("guilty")
+	table, crasher := New(nil), caseOf("crasher")
 	for i := range 12 {
 		for j := range 60 {
 			table.RecordBrokenResponse(caseOf(fmt.Sprint(i, "-", j)), instance(i), start, start)
@@ -436,7 +433,7 @@
 	crashTarget(table, instance(21), start, crasher)
 	sent, first := 0, table.NextReports(start)
 	if len(first) == 0 || first[0].Content != crasher.Content {
-		t.Error("the one that ended two targets is not told first")
+		t.Error("the content with two crashes is not reported first")
 	}
 	for _, r := range first {
 		sent += r.bytes()
@@ -452,6 +449,6 @@
 		request.Finish()
 	}
 	if most := reportBurst + seconds*reportRate + reportBytes + 2*crashBytes; sent > most {
-		t.Errorf("%d bytes are told in %d seconds, over %d", sent, seconds, most)
+		t.Errorf("%d bytes reported in %d seconds, want at most %d", sent, seconds, most)
 	}
 }
--- a/poison/verdict.go
+++ b/poison/verdict.go
@@ -9,31 +9,31 @@
 	"acaciakeel/fleet"
 )
 
-// Verdict is what the platform's store keeps of a content: entries that start, or that
-// all were killed at once, know of it from there.
+// Verdict is the entry of a content in the platform's store, from which a starting process
+// learns of it, also when all processes were killed at once.
 type Verdict struct {
 	Case
 	Crashed []fleet.Instance
 	Until   time.Time
-	// Lifted is set once the content has been served since, or an operator said so. A
-	// verdict that is missing lifts nothing: the store may have lost it.
+	// Lifted is set once the content has succeeded since, or an operator has lifted the
+	// verdict. A missing entry does not lift a verdict, as the store may have lost it.
 	Lifted bool
-	// Revision is the store's; 0 where it has none.
+	// Revision is the entry's revision in the store; 0 if it has none.
 	Revision int64
 }
 
-// Figures of what is kept.
+// Delays before writing to the store.
 const (
 	// writeDelay is how long a verdict waits before it is written: a request with the same
-	// content that runs elsewhere may still be served and clear it.
+	// content that runs elsewhere may still succeed and clear it.
 	writeDelay = 500 * time.Millisecond
-	// standInDelay is after how long a verdict that nobody has written is written by
-	// whoever stands in for all: the process that saw it may have ended.
+	// standInDelay is the age at which the stand-in writes a verdict that nobody has
+	// written, because the process that observed the crash may have crashed itself.
 	standInDelay = 2 * time.Second
 )
 
-// PendingWrites returns the verdicts that this process is to write; forAll is set where it
-// stands in for the others.
+// PendingWrites returns the verdicts that this process has to write. standIn is set if it
+// also writes for the other processes.
 func (t *Table) PendingWrites(standIn bool, now time.Time) []Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,7 +59,7 @@
 	return v
 }
 
-// MarkWritten notes that the store has what Unkept returned.
+// MarkWritten records that the store has a verdict returned by PendingWrites.
 func (t *Table) MarkWritten(v Verdict, revision int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,8 +68,8 @@
 	}
 }
 
-// MarkMissing notes that the store has no verdict on a content. One that holds is written
-// anew: the store may have lost it.
+// MarkMissing records that the store has no verdict on a content. A verdict that still
+// holds is written again, as the store may have lost it.
 func (t *Table) MarkMissing(content Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,7 +78,7 @@
 	}
 }
 
-// ApplyStored takes a verdict that the store has.
+// ApplyStored merges a verdict read from the store.
 func (t *Table) ApplyStored(v Verdict, now time.Time) {
 	t.mu.Lock()
 	defer t.unlockAndNotify()
@@ -97,7 +97,7 @@
 	}
 }
 
-// applyLift ends a verdict by the store's word; the caller holds mu.
+// applyLift ends a verdict that is lifted in the store. The caller holds mu.
 func (t *Table) applyLift(v Verdict, now time.Time) {
 	for _, instance := range v.Crashed {
 		t.clearCrash(v.Case, instance, now)
@@ -124,7 +124,7 @@
 	Born   int64  `json:"born"`
 }
 
-// Encode returns the value under which a verdict is kept.
+// Encode returns the store value of a verdict.
 func (v Verdict) Encode() ([]byte, error) {
 	w := storedVerdict{Service: v.Service, Customer: v.Customer, Request: v.Request, UntilMS: v.Until.UnixMilli(), Lifted: v.Lifted}
 	for _, instance := range v.Crashed {
@@ -133,14 +133,14 @@
 	return json.Marshal(w)
 }
 
-var errTooFewCrashes = errors.New("it names no target that ended")
+var errTooFewCrashes = errors.New("too few crashed targets")
 
-// DecodeVerdict reads the value that is kept of a content. A verdict that could not be meant,
-// such as one without ends or for years, is none.
+// DecodeVerdict decodes the store value of a verdict. It rejects a verdict with too few
+// crashes, and limits the expiry to maxVerdictDuration from now.
 func DecodeVerdict(content Fingerprint, value []byte, revision int64, now time.Time) (Verdict, error) {
 	var w storedVerdict
 	if err := json.Unmarshal(value, &w); err != nil {
-		return Verdict{}, fmt.Errorf("read a verdict: %w", err)
+		return Verdict{}, fmt.Errorf("decode verdict: %w", err)
 	}
 	v := Verdict{
 		Case:  Case{Content: content, Service: w.Service, Customer: w.Customer, Request: w.Request},
@@ -150,7 +150,7 @@
 		v.Crashed = append(v.Crashed, fleet.Instance{ID: target.Target, Born: target.Born})
 	}
 	if !v.Lifted && len(v.Crashed) < CrashThreshold {
-		return Verdict{}, fmt.Errorf("read a verdict: %w; %d are needed", errTooFewCrashes, CrashThreshold)
+		return Verdict{}, fmt.Errorf("decode verdict: %w; %d are required", errTooFewCrashes, CrashThreshold)
 	}
 	if latest := now.Add(maxVerdictDuration); v.Until.After(latest) {
 		v.Until = latest
--- a/quota/account.go
+++ b/quota/account.go
@@ -8,80 +8,88 @@
 	"acaciakeel/policy"
 )
 
-// account is one customer's use at one process. Amounts are in the limit's unit.
+// account is one customer's, or one target's, usage as known at this process. Amounts are
+// in the limit's unit.
 type account struct {
 	name  string
 	limit Limit
-	// refilledAt is when the level was brought forward, sliceUpdatedAt when the slice and the demand.
+	// refilledAt is when the level was last refilled, sliceUpdatedAt when the slice and the
+	// demand were last updated.
 	refilledAt, sliceUpdatedAt time.Time
-	// level is what the limit has left over all processes, as far as is known here;
-	// below 0 where more was let in.
+	// level is the remaining amount of the limit over all processes, as far as is known
+	// here; negative if more than the limit was admitted.
 	level float64
-	// maxDebt bounds how far below 0 it goes: beyond the margin, more would only keep the
-	// customer out for longer, also where what was told was wrong.
+	// maxDebt bounds how far the level goes below 0. Debt beyond the margin would only
+	// block the customer for longer, also if a peer reported a wrong total.
 	maxDebt float64
-	// levelKnown is set once the level is not that of a process that has just started.
+	// levelKnown is set once the level is more than the initial guess of a starting
+	// process.
 	levelKnown bool
-	// slice is what this process may let in by itself where the level tells little.
+	// slice is what this process may admit on its own when the shared level is used up or
+	// uncertain.
 	slice float64
-	// admittedHere is what this process let in since its start.
+	// admittedHere is the amount admitted by this process since its start.
 	admittedHere float64
-	// demand is what was asked lately here, let in or not, fading over demandTime.
+	// demand is the amount requested here lately, admitted or not. It decays over
+	// demandDecay.
 	demand float64
-	// pendingRetries is what was refused here and told to come back, less what came in since.
+	// pendingRetries is the amount refused here with a retry time, less what the limit has
+	// granted since.
 	pendingRetries float64
-	// peerUsage is what each other process, and each other group, told last.
+	// peerUsage is the last report of each other process and of each other group.
 	peerUsage map[*sender]*peerUsage
-	// admittedInGroup is what this process's admittedInGroup let in, as far as is known here.
+	// admittedInGroup is the amount admitted by this process's group, as far as is known
+	// here.
 	admittedInGroup float64
 
 	reported         reportState
 	reportedToGroups map[int]*reportState
 	overLimit        bool
 	lastRefusedAt    time.Time
-	// admitted and refused count requests.
+	// admitted and refused are numbers of requests.
 	admitted, refused int64
 }
 
-// peerUsage is what another process told of a customer.
+// peerUsage is the usage of an account as another process or group reported it.
 type peerUsage struct {
 	admitted   float64
 	demand     float64
 	reportedAt time.Time
-	// partitioned is set where the sender was silent since: what it let in meanwhile was its own
-	// part of the limit.
+	// partitioned is set if the sender was silent since its last report. What it admitted
+	// meanwhile came out of its own share of the limit.
 	partitioned bool
 }
 
-// demandRate returns how much the other process is taken to be demandRate for a second now.
+// demandRate returns the estimated current demand at the other process, per second.
 func (u *peerUsage) demandRate(now time.Time) float64 {
 	return u.demand * decay(now.Sub(u.reportedAt)) / demandDecay.Seconds()
 }
 
-// decay returns what is left of a demand after a while.
+// decay returns the factor by which a demand has decayed after the elapsed time.
 func decay(elapsed time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / demandDecay.Seconds())
 }
 
-// Figures of accounts.
+// Parameters of accounts.
 const (
-	// demandDecay is over how long demand fades: long enough to hold several requests of
-	// a customer, short enough to follow one that turns hot.
+	// demandDecay is the time constant of the demand: long enough to cover several requests
+	// of a customer, short enough to follow a customer whose demand rises.
 	demandDecay = 500 * time.Millisecond
-	// maxSliceAge bounds what a process saves up of its slice.
+	// maxSliceAge bounds the slice: a process saves up at most its share of the limit over
+	// this time.
 	maxSliceAge = 250 * time.Millisecond
-	// unreportedMarginShare is the part of the margin that covers what is not heard yet; the rest
-	// is kept for what can't be foreseen, such as cuts that nobody has noticed.
+	// unreportedMarginShare is the part of the margin that covers usage not reported yet.
+	// The rest is kept for the unforeseen, such as network partitions not detected yet.
 	unreportedMarginShare = 0.5
-	// quorumShare is the part of the processes below which those that hear each other let
-	// nothing in that is not saved up.
+	// quorumShare is the fraction of the processes below which those that reach each other
+	// admit only what is saved up.
 	quorumShare = 0.5
 )
 
 func (lim *Limiter) newAccount(name string, l Limit, now time.Time) *account {
 	a := &account{name: name, limit: l, refilledAt: now, sliceUpdatedAt: now, maxDebt: l.Burst + lim.tolerance.margin(l), peerUsage: map[*sender]*peerUsage{}}
-	// Others may have spent all: were all killed at once, each would begin with a full
-	// burst of its own.
+	// A starting process assumes that the burst is spent. If all processes were killed at
+	// once, each would otherwise grant a full burst.
 	if !lim.warmingUp(now) {
 		a.level, a.levelKnown = l.Burst, true
 	}
@@ -91,7 +99,7 @@
 	return a
 }
 
-// changeLimit puts another limit into force.
+// changeLimit replaces the limit of an account and scales the level in proportion.
 func (lim *Limiter) changeLimit(a *account, l Limit) {
 	if l == a.limit {
 		return
@@ -107,7 +115,7 @@
 	a.limit = l
 }
 
-// refresh brings an account forward to now; the caller holds mu.
+// refresh updates an account to now. The caller holds mu.
 func (lim *Limiter) refresh(a *account, now time.Time) {
 	fraction := lim.limitFraction(now)
 	a.refill(fraction, now)
@@ -123,8 +131,9 @@
 	} else {
 		paceFactor := a.paceFactor(lim.unreportedMargin(a))
 		if lim.staggerCost > 0 && a.level > 0 {
-			// What is left of the burst is dealt out by the slices as well: the level alone
-			// opens to all at once, and not where much is asked.
+			// The remaining burst is also handed out through the slices. The level alone
+			// would admit requests at all processes at once, regardless of where the demand
+			// is.
 			paceFactor += a.level / a.limit.Burst
 		}
 		a.slice = min(growthRate*maxSliceAge.Seconds(), a.slice+growthRate*paceFactor*elapsed)
@@ -132,8 +141,8 @@
 	a.pendingRetries = max(0, a.pendingRetries-growthRate*elapsed)
 }
 
-// refill adds to the level what came with time, for the part of the limit that is left
-// to the processes that are heard.
+// refill adds the amount accrued since the last refill to the level, for the fraction of
+// the limit that belongs to the reachable processes.
 func (a *account) refill(fraction float64, now time.Time) {
 	elapsed := now.Sub(a.refilledAt).Seconds()
 	if elapsed <= 0 {
@@ -143,13 +152,14 @@
 	a.level = min(a.limit.Burst*fraction, a.level+a.limit.Rate*fraction*elapsed)
 }
 
-// unreportedMargin returns how far over its limit a customer may be known to be.
+// unreportedMargin returns how far over its limit an account may go because of usage that
+// is not reported yet.
 func (lim *Limiter) unreportedMargin(a *account) float64 {
 	return unreportedMarginShare * lim.tolerance.margin(a.limit)
 }
 
-// paceFactor returns how fast the slice grows: less where more than the limit was let in, so
-// that it is made up for.
+// paceFactor returns the relative growth of the slice. It falls below 1 when more than the
+// limit was admitted, so that the excess is made up for.
 func (a *account) paceFactor(margin float64) float64 {
 	if margin <= 0 {
 		margin = 1
@@ -157,8 +167,8 @@
 	return min(1, max(0, 1+a.level/margin))
 }
 
-// demandShare returns this process's part of what is asked of a customer's limit, among the
-// processes that it hears.
+// demandShare returns this process's part of the demand for an account at all reachable
+// processes.
 func (lim *Limiter) demandShare(a *account, now time.Time) float64 {
 	processes := float64(lim.reachableProcesses(now))
 	if lim.disabled[policy.DemandShares] {
@@ -171,7 +181,7 @@
 	return a.demandRate() / all
 }
 
-// totalDemandRate returns how much all processes that are heard are asked for a second.
+// totalDemandRate returns the demand at all reachable processes, per second.
 func (a *account) totalDemandRate(now time.Time) float64 {
 	all := a.demandRate()
 	for s, u := range a.peerUsage {
@@ -182,10 +192,10 @@
 	return all
 }
 
-// demandRate returns how much this process is demandRate for a second.
+// demandRate returns the demand at this process, per second.
 func (a *account) demandRate() float64 { return a.demand / demandDecay.Seconds() }
 
-// groupDemand returns what the processes of this one's group are asked together.
+// groupDemand returns the demand at all processes of this process's group.
 func (a *account) groupDemand(now time.Time) float64 {
 	sum := a.demand
 	for s, u := range a.peerUsage {
@@ -196,14 +206,15 @@
 	return sum
 }
 
-// capacity is what an account has for one more request.
+// capacity tells whether an account has room for one more request.
 type capacity struct {
 	available bool
-	// shortfall is how much is missing where it is not open, and growthRate how fast it comes.
+	// shortfall is the amount missing if the request is not admitted, growthRate the rate
+	// at which the account gains it.
 	shortfall, growthRate float64
 }
 
-// capacity returns whether one more request may be let in; the caller holds mu and has
+// capacity returns whether one more request may be admitted. The caller holds mu and has
 // refreshed the account.
 func (lim *Limiter) capacity(a *account, cost float64, now time.Time) capacity {
 	fraction := lim.limitFraction(now)
@@ -213,7 +224,7 @@
 		return capacity{available: a.slice > 0, shortfall: -a.slice, growthRate: growthRate}
 	}
 	if fraction < quorumShare {
-		// Each of many that hear nobody could go into debt by a whole request.
+		// With many isolated processes, each could otherwise overdraw by a whole request.
 		return capacity{available: a.level >= cost, shortfall: cost - a.level, growthRate: growthRate}
 	}
 	margin := lim.unreportedMargin(a)
@@ -226,14 +237,16 @@
 	}
 	shortfall := max(-left, -a.slice)
 	if lim.staggerCost > 0 {
-		// What the others may have let in unheard keeps the level closed, not the slice.
+		// Unreported usage of peers limits the level, not the slice, so it does not count
+		// here.
 		shortfall = max(-margin-a.level, -a.slice)
 	}
 	return capacity{available: a.slice > 0 && a.level > -margin, shortfall: shortfall, growthRate: growthRate * lim.demandShare(a, now)}
 }
 
-// estimateUnreported returns what the others may have let in since they were heard last. One that
-// is late may be cut off, and what it is asked may have grown with what is asked here.
+// estimateUnreported returns the amount that the other processes may have admitted since
+// their last reports. A late sender may be partitioned, and its demand may have grown with
+// the demand here.
 func (lim *Limiter) estimateUnreported(a *account, now time.Time) float64 {
 	sum, own := 0.0, a.demandRate()
 	for _, s := range lim.senders {
@@ -253,12 +266,12 @@
 	a.demand += cost
 }
 
-// debit counts what was let in, here or elsewhere, against the level.
+// debit subtracts an amount admitted here or elsewhere from the level.
 func (a *account) debit(amount float64) {
 	a.level = max(-a.maxDebt, min(a.limit.Burst, a.level-amount))
 }
 
-// admit lets a request in; a cost below 0 gives back.
+// admit counts an admitted request; a negative cost is a refund.
 func (a *account) admit(cost float64) {
 	a.debit(cost)
 	a.slice -= cost
@@ -269,14 +282,14 @@
 	}
 }
 
-// Bounds of the time after which a refused client is asked back.
+// Bounds of the retry time for refused requests.
 const (
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// refuse counts a request that is not let in, and returns when to come back: when the
-// limit has room for it behind those that were told so before.
+// refuse counts a refused request and returns when the client may retry: once the limit has
+// room behind earlier refused requests. The random part spreads the retries.
 func (a *account) refuse(cost float64, c capacity) time.Duration {
 	a.refused++
 	a.reported.refusedSince = true
@@ -285,7 +298,7 @@
 	return wait + minRetryAfter + rand.N(minRetryAfter)
 }
 
-// retryAfter returns when the limit has room behind those that were told to come back.
+// retryAfter returns when the limit has room behind the pending retries.
 func (a *account) retryAfter(c capacity) time.Duration {
 	if c.growthRate <= 0 {
 		return maxRetryAfter
@@ -293,7 +306,7 @@
 	return min(maxRetryAfter, time.Duration((max(0, c.shortfall)+a.pendingRetries)/c.growthRate*float64(time.Second)))
 }
 
-// addPendingRetry counts a request that was told to come back.
+// addPendingRetry counts a refused request that is expected to be retried.
 func (a *account) addPendingRetry(cost float64) {
 	a.pendingRetries = min(a.pendingRetries+cost, a.limit.Rate*maxRetryAfter.Seconds())
 }
--- a/quota/groups.go
+++ b/quota/groups.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// GroupUpdate returns what this process's group has to tell another one.
+// GroupUpdate returns the usage of this process's group, to be sent to another group.
 func (lim *Limiter) GroupUpdate(group int, now time.Time) UsageUpdate {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
@@ -24,9 +24,9 @@
 	return out
 }
 
-// startGroupReport notes that another group is told. One that is told anew gets what is let in
-// from now on: what was before, its members know from others, or when they were in a group
-// with this one.
+// startGroupReport records that another group is sent a report. A group without a report
+// for groupTimeout is sent only usage from now on: its members know the earlier usage from
+// other processes, or from having been in this group.
 func (lim *Limiter) startGroupReport(group int, now time.Time) {
 	if now.Sub(lim.groupReportedAt[group]) > groupTimeout {
 		for _, a := range lim.accounts {
@@ -36,8 +36,9 @@
 	lim.groupReportedAt[group] = now
 }
 
-// ApplyGroupUpdate takes what a member of another group tells of it. Another member has
-// counted from another moment on: what it tells first only sets where it begins.
+// ApplyGroupUpdate applies an update from another group. Different members of the group
+// have counted since different times, so the first totals of a new sender only set its
+// baseline.
 func (lim *Limiter) ApplyGroupUpdate(group int, u UsageUpdate, now time.Time) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
@@ -52,7 +53,7 @@
 	lim.applyUpdate(s, u, now)
 }
 
-// groupReport returns what was told to another group.
+// groupReport returns the state of the reports to another group.
 func (a *account) groupReport(group int) *reportState {
 	if a.reportedToGroups == nil {
 		a.reportedToGroups = map[int]*reportState{}
--- a/quota/limit.go
+++ b/quota/limit.go
@@ -1,10 +1,10 @@
-// Package quota keeps customers within limits, and the requests to targets within
-// those that these name, that hold over all processes together, without a call on the
-// way of a request. Each process counts what all of them let in, as far as they told
-// it, and lets a request in while the limit has room. What it can't have heard yet is covered by the margin that the deployment
-// allows over a limit; for processes that it does not hear it leaves their part of
-// the limit. It knows no network: whoever holds a Book carries its words.
-// docs/design/quotas.md says what else was weighed.
+// Package quota enforces limits that hold over all processes together: those of customers,
+// and those that targets set for the requests sent to them. No request waits for a network
+// call. Each process counts what all of them admit, as far as they have reported it, and
+// admits a request while the limit has room. The margin that the deployment allows over a
+// limit covers usage not reported yet; processes that can't be reached keep their share of
+// the limit. The package does no I/O: the caller sends and delivers the updates.
+// docs/design/quotas.md describes the alternatives.
 package quota
 
 import (
@@ -13,67 +13,67 @@
 	"time"
 )
 
-// Unit is what a limit counts.
+// Unit is the unit of a limit.
 type Unit string
 
-// The units.
 const (
 	Requests Unit = "requests"
 	Tokens   Unit = "tokens"
 )
 
-// Limit is how much of a customer's requests all processes together let in. The zero
-// Limit is none.
+// Limit is the amount that all processes together may admit for an account. The zero Limit
+// means no limit.
 type Limit struct {
-	// Rate is how much a second; 0 is no limit.
+	// Rate is the amount per second; 0 means no limit.
 	Rate float64
-	// Burst is how much may be saved up.
+	// Burst is the amount that may be saved up.
 	Burst float64
 	Unit  Unit
-	// DefaultTokens is the tokens of a request that does not say how many it has.
+	// DefaultTokens is the charge for a request that does not state its tokens.
 	DefaultTokens float64
 }
 
-// enabled reports whether there is a limit.
 func (l Limit) enabled() bool { return l.Rate > 0 }
 
-// minBurst is what may be saved up at least: with less a request would find nothing.
-// It stays within the tenth by which deployments let a window be exceeded.
+// minBurst is the least burst, as time at the limit's rate; with less, no request would
+// find room. It stays within the tenth of a limit by which deployments allow a window to be
+// exceeded.
 const minBurst = 250 * time.Millisecond
 
-// withMinBurst returns the limit with a burst that lets requests in.
+// withMinBurst returns the limit with its burst raised to the minimum.
 func (l Limit) withMinBurst() Limit {
 	l.Burst = max(l.Burst, l.Rate*minBurst.Seconds())
 	return l
 }
 
-// maxValue bounds the figures of a limit: far beyond any deployment, and small
-// enough for sums over a day to be exact.
+// maxValue bounds the numbers of a limit: far beyond any deployment, and small enough that
+// sums over a day are exact.
 const maxValue = 1e12
 
-// Check returns what is wrong with a limit.
+// Check returns an error if the limit is invalid.
 func (l Limit) Check() error {
 	for name, value := range map[string]float64{"rate": l.Rate, "burst": l.Burst, "uncounted": l.DefaultTokens} {
 		if math.IsNaN(value) || value < 0 || value > maxValue {
-			return fmt.Errorf("the limit's %s is %v; give a number from 0 to %v", name, value, maxValue)
+			return fmt.Errorf("limit %s is %v: must be a number from 0 to %v", name, value, maxValue)
 		}
 	}
 	if l.Unit != Requests && l.Unit != Tokens {
-		return fmt.Errorf("the limit counts %q; write %s or %s", l.Unit, Requests, Tokens)
+		return fmt.Errorf("unknown limit unit %q: must be %s or %s", l.Unit, Requests, Tokens)
 	}
 	return nil
 }
 
-// Size is a request's tokens; Known is false where it does not say.
+// Size is the number of tokens of a request. Known is false if the request does not state
+// it.
 type Size struct {
 	Tokens int
 	Known  bool
 }
 
-// maxTokens bounds what one request counts.
+// maxTokens bounds the charge of one request.
 const maxTokens = 1 << 40
 
-// cost returns what a request of a size counts.
+// cost returns the charge for a request of the given size.
 func (l Limit) cost(s Size) float64 {
 	switch {
 	case l.Unit == Requests:
@@ -84,17 +84,16 @@
 	return float64(min(max(0, s.Tokens), maxTokens))
 }
 
-// Tolerance are what the deployment allows over a limit.
+// Tolerance is the excess over a limit that the deployment allows.
 type Tolerance struct {
-	// Window is the span over which a limit is judged.
+	// Window is the interval over which compliance is measured.
 	Window time.Duration
-	// Overrun is the share of a limit, Slack the amount beside it, by which a window
-	// may be exceeded.
+	// Overrun is the relative and Slack the absolute excess allowed in a window.
 	Overrun float64
 	Slack   float64
 }
 
-// margin returns how far over a limit a window may be.
+// margin returns the allowed excess over the limit in a window.
 func (b Tolerance) margin(l Limit) float64 {
 	return b.Overrun*(l.Rate*b.Window.Seconds()+l.Burst) + b.Slack
 }
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -9,38 +9,39 @@
 	"acaciakeel/prefix"
 )
 
-// Limiter holds the customers' accounts at one process. It is safe for concurrent use.
+// Limiter holds the accounts of one process. It is safe for concurrent use.
 type Limiter struct {
 	tolerance Tolerance
 	disabled  policy.Disabled
-	// hasLease reports whether the others count on this process being there.
+	// hasLease reports whether the other processes still count this one as a member.
 	hasLease  func() bool
 	startedAt time.Time
 
 	mu sync.Mutex
-	// accounts are by the hash of the customer's name, only of those with limits.
+	// accounts are keyed by the hash of the account's name and hold only accounts with
+	// limits.
 	accounts map[uint64]*account
 	ids      map[string]uint64
 	peers    map[string]*sender
-	// groupSenders are those that tell of other groups, by the group.
+	// groupSenders are the processes that report for other groups, by group.
 	groupSenders map[int]*sender
-	// senders are all that are known of both.
+	// senders are the values of peers and groupSenders.
 	senders []*sender
-	// groupReportedAt is when each other group was told last.
+	// groupReportedAt is the time of the last report to each other group.
 	groupReportedAt map[int]time.Time
-	// members is how many processes serve, as the store says, this one included.
+	// members is the number of serving processes listed in the store, including this one.
 	members int
-	// recentMembers is how many there have been lately.
+	// recentMembers is the number of processes that served lately.
 	recentMembers int
 	changes       []Change
-	// staggerCost is what one request counts, where slices begin with a random part of that
-	// as debt; 0 has them begin with none.
+	// staggerCost is the cost of one request if slices start with a random part of it as
+	// debt, 0 if they start at zero.
 	staggerCost float64
 	random      *rand.Rand
 }
 
-// NewLimiter returns the book of a process that starts now. leased reports whether the
-// other processes still count this one in.
+// NewLimiter returns the limiter of a process that starts now. hasLease reports whether the
+// other processes still count this one as a member.
 func NewLimiter(tolerance Tolerance, disabled policy.Disabled, hasLease func() bool, now time.Time) *Limiter {
 	return &Limiter{
 		tolerance: tolerance, disabled: disabled, hasLease: hasLease, startedAt: now, members: 1,
@@ -48,24 +49,24 @@
 	}
 }
 
-// Stagger has the slices of new accounts, of which each request counts so much, begin
-// with a random part of one as debt. Without it each of many processes lets one request
-// in at the same moment once an account is limited. It is called before the book is used.
+// Stagger makes the slices of new accounts start with a random part of one request's cost
+// as debt. Otherwise all processes would admit one request at the same moment when an
+// account becomes limited. It must be called before the limiter is used.
 func (lim *Limiter) Stagger(requestCost float64, random *rand.Rand) {
 	lim.staggerCost, lim.random = requestCost, random
 }
 
-// warmUp is how long after its start a process knows how many there are, and has
-// heard of them what was let in before.
+// warmUp is the time after the start in which a process learns the number of processes and
+// the usage before its start.
 const warmUp = time.Second
 
-// warmingUp reports whether the process has just started; the caller holds mu.
+// warmingUp reports whether the process has just started. The caller holds mu.
 func (lim *Limiter) warmingUp(now time.Time) bool {
 	return now.Sub(lim.startedAt) < warmUp
 }
 
-// SetLimits sets the limits of all customers by their names. What a customer has left
-// changes in proportion to its limit.
+// SetLimits replaces the limits of all accounts, by name. The remaining amount of an
+// account is scaled in proportion to its limit.
 func (lim *Limiter) SetLimits(limits map[string]Limit, now time.Time) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
@@ -89,22 +90,22 @@
 	lim.ids, lim.accounts = ids, accounts
 }
 
-// SetMembers sets how many processes serve, this one included.
+// SetMembers sets the number of serving processes, including this one.
 func (lim *Limiter) SetMembers(n int) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	lim.members = max(1, n)
 }
 
-// SetRecentMembers sets how many processes there have been lately.
+// SetRecentMembers sets the number of processes that served lately.
 func (lim *Limiter) SetRecentMembers(n int) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	lim.recentMembers = n
 }
 
-// expectedProcesses returns how many processes may be there: one that has just started knows of
-// few yet. The caller holds mu.
+// expectedProcesses returns the number of processes that may be serving. A starting process
+// may not know all members yet and uses the recent number if larger. The caller holds mu.
 func (lim *Limiter) expectedProcesses(now time.Time) int {
 	if lim.warmingUp(now) {
 		return max(lim.members, lim.recentMembers)
@@ -112,8 +113,8 @@
 	return lim.members
 }
 
-// Charge is what one request counts at its customer's account; a nil Charge is that
-// of a customer without a limit. It is not safe for concurrent use.
+// Charge is the cost of one request on its account. A nil Charge belongs to an account
+// without a limit. It is not safe for concurrent use.
 type Charge struct {
 	limiter    *Limiter
 	id         uint64
@@ -121,7 +122,8 @@
 	executions int
 }
 
-// Admit lets one request of a customer in, or returns false and when to come back.
+// Admit admits one request of a customer, or returns false and the time after which to
+// retry.
 func (lim *Limiter) Admit(customer string, size Size, now time.Time) (charge *Charge, wait time.Duration, ok bool) {
 	if lim.disabled[policy.CustomerLimits] {
 		return nil, 0, true
@@ -146,8 +148,8 @@
 	return &Charge{limiter: lim, id: id, cost: cost, executions: 1}, 0, true
 }
 
-// SetExecutions sets how many of the request's sends may have run or may yet run: each counts
-// once, and what the customer was charged for others it gets back.
+// SetExecutions sets how many of the request's sends were executed or may still be. Each is
+// charged once; the account is refunded or charged for the difference.
 func (c *Charge) SetExecutions(executions int) {
 	if c == nil || executions == c.executions {
 		return
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -11,7 +11,8 @@
 
 var testStart = time.Unix(1000, 0)
 
-// newTestLimiter returns the newTestLimiter of one process that has been there for long, of so many.
+// newTestLimiter returns a limiter that has been running for a minute, among the given
+// number of processes.
 func newTestLimiter(members int) *Limiter {
 	b := NewLimiter(Tolerance{Window: 8 * time.Second}, nil, func() bool { return true }, testStart.Add(-time.Minute))
 	b.SetMembers(members)
@@ -22,7 +23,7 @@
 
 func limits(l Limit) map[string]Limit { return map[string]Limit{"c": l} }
 
-// left returns what customer c has left at a book.
+// left returns the remaining amount of customer c.
 func left(t *testing.T, b *Limiter, now time.Time) float64 {
 	t.Helper()
 	uses := b.State(now).Customers
@@ -32,23 +33,24 @@
 	return uses[0].Remaining
 }
 
-// Guards against customers that pay for what never ran, or run twice for once.
+// Guards against charging customers for requests that were not executed, and against
+// charging once for two executions.
 func TestChargeFollowsExecutions(t *testing.T) {
 	b := newTestLimiter(1)
 	b.SetLimits(limits(Limit{Rate: 100, Burst: 1000, Unit: Tokens}), testStart)
 	charge, _, ok := b.Admit("c", tokens(300), testStart)
 	if !ok {
-		t.Fatal("refused within the limit")
+		t.Fatal("request within the limit was refused")
 	}
 	for _, step := range []struct{ ran, left int }{{1, 700}, {2, 400}, {0, 1000}} {
 		charge.SetExecutions(step.ran)
 		if got := left(t, b, testStart); got != float64(step.left) {
-			t.Errorf("after %d runs %v are left, want %d", step.ran, got, step.left)
+			t.Errorf("after %d executions: %v remaining, want %d", step.ran, got, step.left)
 		}
 	}
 }
 
-// Guards against requests that count nothing because they hide their size.
+// Guards against requests that cost nothing because they do not state their size.
 func TestRequestWithoutSizeIsCharged(t *testing.T) {
 	l := Limit{Rate: 100, Burst: 1000, Unit: Tokens, DefaultTokens: 200}
 	for _, c := range []struct {
@@ -56,16 +58,16 @@
 		want float64
 	}{{Size{}, 200}, {tokens(-5), 0}, {tokens(math.MaxInt), maxTokens}, {tokens(7), 7}} {
 		if got := l.cost(c.size); got != c.want {
-			t.Errorf("%+v counts %v, want %v", c.size, got, c.want)
+			t.Errorf("%+v costs %v, want %v", c.size, got, c.want)
 		}
 	}
 	l.Unit = Requests
 	if got := l.cost(tokens(900)); got != 1 {
-		t.Errorf("a request counts %v requests", got)
+		t.Errorf("a request costs %v requests, want 1", got)
 	}
 }
 
-// Guards against figures that no limit can mean.
+// Guards against limits with meaningless numbers or units.
 func TestInvalidLimitsAreRejected(t *testing.T) {
 	good := Limit{Rate: 1, Burst: 2, Unit: Requests}
 	if err := good.Check(); err != nil {
@@ -73,31 +75,31 @@
 	}
 	for _, l := range []Limit{{Rate: -1, Unit: Tokens}, {Burst: math.Inf(1), Unit: Tokens}, {DefaultTokens: math.NaN(), Unit: Tokens}, {Rate: 1, Unit: "words"}, {Rate: 1}} {
 		if l.Check() == nil {
-			t.Errorf("%+v passes", l)
+			t.Errorf("%+v passed the check", l)
 		}
 	}
 }
 
-// Guards against a full burst anew at each process of many that were killed together.
+// Guards against a full burst at each process after all were killed together.
 func TestStartingProcessHasNoBurst(t *testing.T) {
 	l := Limit{Rate: 100, Burst: 1000, Unit: Tokens}
 	b := NewLimiter(Tolerance{}, nil, func() bool { return true }, testStart)
 	b.SetRecentMembers(4)
 	b.SetLimits(limits(l), testStart)
 	if _, wait, ok := b.Admit("c", tokens(50), testStart); ok || wait < 200*time.Millisecond {
-		t.Errorf("let in %v with nothing saved up, told to come back after %v", ok, wait)
+		t.Errorf("admitted %v with nothing saved up, retry after %v", ok, wait)
 	}
-	// It expects three others, whose parts of the limit are not its own.
+	// It expects three other processes, which own three quarters of the limit.
 	if got := left(t, b, testStart.Add(800*time.Millisecond)); got != 20 {
-		t.Errorf("%v are left after 0.8 s, want a quarter of 80", got)
+		t.Errorf("%v remaining after 0.8 s, want a quarter of 80", got)
 	}
 	b.ApplyPeerUpdate(UsageUpdate{Sender: "old", Uptime: time.Hour, Reports: []UsageReport{{Customer: b.ids["c"], Total: 5000, Level: 600}}}, testStart.Add(800*time.Millisecond))
 	if got := left(t, b, testStart.Add(800*time.Millisecond)); got != 600 {
-		t.Errorf("%v are left, want the 600 that a process knows that was there before", got)
+		t.Errorf("%v remaining, want the 600 reported by a process that started earlier", got)
 	}
 }
 
-// Guards against limits that hold at each process alone.
+// Guards against limits that each process grants on its own.
 func TestPeerUsageCounts(t *testing.T) {
 	a, b := newTestLimiter(2), newTestLimiter(2)
 	l := Limit{Rate: 100, Burst: 1000, Unit: Tokens}
@@ -113,16 +115,16 @@
 	a.Admit("c", tokens(900), testStart)
 	send(a, b, "a", testStart)
 	if got := left(t, b, testStart); got != 100 {
-		t.Errorf("the other knows of %v left, want 100", got)
+		t.Errorf("%v remaining at the peer, want 100", got)
 	}
 	b.Admit("c", tokens(400), testStart)
 	send(b, a, "b", testStart)
 	if _, _, ok := a.Admit("c", tokens(1), testStart); ok {
-		t.Error("let in though the other has spent the rest")
+		t.Error("admitted although the peer has used the rest")
 	}
 }
 
-// Guards against use that is never counted because the datagram that told of it was lost.
+// Guards against usage that is never counted because a datagram was lost.
 func TestLostUpdatesAreRecovered(t *testing.T) {
 	a, b := newTestLimiter(2), newTestLimiter(2)
 	for _, book := range []*Limiter{a, b} {
@@ -141,27 +143,27 @@
 	a.Admit("c", tokens(200), testStart.Add(300*time.Millisecond))
 	b.ApplyPeerUpdate(update(300*time.Millisecond), testStart.Add(300*time.Millisecond))
 	if got := left(t, b, testStart.Add(300*time.Millisecond)); got != 320 {
-		t.Errorf("%v left, want 1000 less 700, and 20 that came since the first was heard", got)
+		t.Errorf("%v remaining, want 1000 less 700, plus 20 accrued since the first update", got)
 	}
 }
 
-// Guards against a lower limit that begins with a burst of the former one, and against
-// one that refuses all for long because of what was sent before.
+// Guards against a lowered limit that starts with the burst of the former one, or that
+// blocks the customer for long because of earlier usage.
 func TestChangedLimits(t *testing.T) {
 	b := newTestLimiter(1)
 	b.SetLimits(limits(Limit{Rate: 1000, Burst: 1000, Unit: Tokens}), testStart)
 	b.Admit("c", tokens(1200), testStart)
 	b.SetLimits(limits(Limit{Rate: 100, Burst: 100, Unit: Tokens}), testStart)
 	if got := left(t, b, testStart); got != -20 {
-		t.Errorf("%v left under a tenth of the limit, want a tenth of -200", got)
+		t.Errorf("%v remaining under a tenth of the limit, want a tenth of -200", got)
 	}
 	b.SetLimits(nil, testStart)
 	if _, _, ok := b.Admit("c", tokens(1e6), testStart); !ok {
-		t.Error("refused without a limit")
+		t.Error("request without a limit was refused")
 	}
 }
 
-// Guards against a part of the processes that lets in what is the others' part.
+// Guards against a partition that also uses the other processes' share of a limit.
 func TestUnreachableProcessesKeepTheirShare(t *testing.T) {
 	leased := true
 	b := NewLimiter(Tolerance{}, nil, func() bool { return leased }, testStart.Add(-time.Minute))
@@ -169,19 +171,19 @@
 	b.SetLimits(limits(Limit{Rate: 100, Burst: 1000, Unit: Tokens}), testStart)
 	part := func() float64 { return b.State(testStart.Add(time.Second)).LimitFraction }
 	if got := part(); got != 0.25 {
-		t.Errorf("alone of four it has %v of the limit", got)
+		t.Errorf("one of four reachable: fraction %v, want 0.25", got)
 	}
 	leased = false
 	if got := part(); got != 0 {
-		t.Errorf("alone and counted out it has %v of the limit", got)
+		t.Errorf("one of four reachable without a lease: fraction %v, want 0", got)
 	}
 	b.ApplyPeerUpdate(UsageUpdate{Sender: "x"}, testStart.Add(time.Second))
 	if got := part(); got != 0.5 {
-		t.Errorf("half of them have %v of the limit without the store", got)
+		t.Errorf("two of four reachable without a lease: fraction %v, want 0.5", got)
 	}
 }
 
-// Guards against an operator who can't see who is over a limit.
+// Guards against operators who can't see which customers are over their limits.
 func TestChangesReportOverLimit(t *testing.T) {
 	b := newTestLimiter(1)
 	b.SetLimits(limits(Limit{Rate: 10, Burst: 10, Unit: Requests}), testStart)
@@ -193,26 +195,26 @@
 		t.Fatalf("changes %+v", got)
 	}
 	if got = b.Changes(testStart.Add(overLimitHold + time.Second)); len(got) != 1 || got[0].Over {
-		t.Errorf("changes after it kept within: %+v", got)
+		t.Errorf("changes after the customer is within its limit: %+v", got)
 	}
 }
 
-// Guards against a limit without a burst, which lets nothing in, and against units that
-// change while totals in the former are under way.
+// Guards against a limit without a burst that admits nothing, and against a change of unit
+// while totals in the former unit are in flight.
 func TestLimitChangesDoNotBlockCustomers(t *testing.T) {
 	b := newTestLimiter(1)
 	b.SetLimits(limits(Limit{Rate: 10, Unit: Requests}), testStart)
 	if _, _, ok := b.Admit("c", Size{}, testStart.Add(time.Second)); !ok {
-		t.Error("a limit of ten a second without a burst lets nothing in")
+		t.Error("a limit of 10 requests per second without a burst admits nothing")
 	}
 	b.ApplyPeerUpdate(UsageUpdate{Sender: "x", Reports: []UsageReport{{Customer: b.ids["c"], Total: 90_000, Increase: 90_000}}}, testStart.Add(time.Second))
 	if _, _, ok := b.Admit("c", Size{}, testStart.Add(3*time.Second)); !ok {
-		t.Error("tokens of the unit before keep a customer out for hours")
+		t.Error("usage in the former unit blocks the customer for hours")
 	}
 }
 
-// Guards against a time to come back that is far too long: what others may have let in
-// unheard does not keep a process's own slice closed.
+// Guards against a retry time that is far too long: usage that peers may not have reported
+// yet does not block a process's own slice.
 func TestRetryAfterFollowsSlice(t *testing.T) {
 	b := newTestLimiter(2)
 	b.Stagger(1000, rand.New(rand.NewPCG(1, 1)))
@@ -228,7 +230,7 @@
 	}
 	wait := b.RetryAfter("c", one, now)
 	if wait <= 0 || wait >= maxRetryAfter {
-		t.Fatalf("come back after %v", wait)
+		t.Fatalf("retry after %v", wait)
 	}
 	opened, at := false, now
 	for end := now.Add(wait + time.Second); !opened && at.Before(end); at = at.Add(50 * time.Millisecond) {
@@ -236,6 +238,6 @@
 		opened = b.CanAdmit("c", one, at)
 	}
 	if took := at.Sub(now); !opened || took < wait/2 {
-		t.Errorf("%v were told, and there was room after %v (%v)", wait, took, opened)
+		t.Errorf("retry after %v, but room after %v (%v)", wait, took, opened)
 	}
 }
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -14,8 +14,8 @@
 	"acaciakeel/policy"
 )
 
-// simulation plays one customer's requests at many processes in virtual time. They tell
-// each other by datagrams that are late or lost, and learn by a store who is there.
+// simulation runs one customer's requests at many processes in virtual time. The processes
+// exchange datagrams that are delayed or lost, and learn the membership from a store.
 type simulation struct {
 	bounds        Tolerance
 	off           policy.Disabled
@@ -29,13 +29,15 @@
 	// inFlight is what arrives, by the step.
 	inFlight   map[time.Duration][]message
 	admissions []admission
-	// dueRequests grows by the requests that are due; each takes an exponential amount of it.
+	// dueRequests grows by the requests that are due; each one takes an exponentially
+	// distributed amount of it.
 	dueRequests float64
-	// exactLevel is what a customer's bucket holds that all processes share.
+	// exactLevel is the level of a single token bucket shared by all processes, which
+	// serves as the reference. conforming counts the amounts that this bucket admits.
 	exactLevel     float64
 	exactUpdatedAt time.Duration
 	conforming     struct{ asked, refused float64 }
-	// fixedSize has all requests be of the mean size.
+	// fixedSize makes all requests have the mean size.
 	fixedSize bool
 }
 
@@ -47,10 +49,10 @@
 	nextPulse        time.Duration
 	downUntil        time.Duration
 	partitionedUntil time.Duration
-	// mute: what it tells is lost, while it hears the others.
+	// Until sendLossUntil all its datagrams are lost, while it receives those of others.
 	sendLossUntil time.Duration
 	leaseUntil    time.Duration
-	// formerLeaseUntil is the lease of its start before.
+	// formerLeaseUntil is the end of the lease of the instance before its restart.
 	formerLeaseUntil time.Duration
 }
 
@@ -100,14 +102,15 @@
 
 func (d *simulation) up(h *process) bool { return d.now >= h.downUntil }
 
-// delivers reports whether a datagram gets from one host to another.
+// delivers reports whether a datagram arrives.
 func (d *simulation) delivers(from, to *process) bool {
 	return d.up(from) && d.up(to) && d.now >= from.partitionedUntil && d.now >= to.partitionedUntil && d.now >= from.sendLossUntil && d.rand.Float64() >= d.lossRate
 }
 
 const simStep = 5 * time.Millisecond
 
-// run plays for a while; demand is what is asked a second, size the mean of a request.
+// run advances the simulation. demand is the amount requested per second, size the mean
+// size of a request.
 func (d *simulation) run(length time.Duration, demand, size float64) {
 	for end := d.now + length; d.now < end; d.now += simStep {
 		d.updateMembership()
@@ -124,7 +127,8 @@
 	}
 }
 
-// updateMembership has each host that reaches it know who is there, and keep its lease.
+// updateMembership renews the lease of each process that reaches the store, and gives it
+// the number of members.
 func (d *simulation) updateMembership() {
 	for _, h := range d.processes {
 		if d.up(h) && d.now >= h.partitionedUntil {
@@ -140,7 +144,7 @@
 			starts++
 		}
 	}
-	// Starts that have ended are members until their leases lapse.
+	// Former instances are members until their leases expire.
 	groups := (there + starts + 24) / 25
 	for i, h := range d.processes {
 		h.group = i * groups / len(d.processes)
@@ -186,7 +190,7 @@
 
 func (d *simulation) isFirst(group int, h *process) bool { return d.firstProcess(group) == h }
 
-// send has a letter arrive after a while.
+// send delivers a message after the simulated delay.
 func (d *simulation) send(l message) {
 	at := (d.now + d.latency()).Truncate(simStep) + simStep
 	d.inFlight[at] = append(d.inFlight[at], l)
@@ -206,7 +210,8 @@
 	delete(d.inFlight, d.now)
 }
 
-// relay tells a group what another one told its first member.
+// relay passes an update from another group on to the other members of the receiver's
+// group.
 func (d *simulation) relay(l message) {
 	for _, to := range d.processes {
 		if !l.relayed && to != l.to && to.group == l.to.group && d.delivers(l.to, to) {
@@ -215,7 +220,7 @@
 	}
 }
 
-// request asks for one request at a host by weight.
+// request sends one request to a process chosen by weight.
 func (d *simulation) request(size float64) {
 	cost := math.Round(min(4*size, size*math.Exp(d.rand.NormFloat64()*0.7-0.245)))
 	if d.fixedSize {
@@ -259,8 +264,8 @@
 	return nil
 }
 
-// maxWindowUse returns the maxWindowUse that was let in in any window from a moment on, as a part of
-// what the rule allows under a limit.
+// maxWindowUse returns the most that was admitted in any window ending after from, relative
+// to the amount that limit and margin allow.
 func (d *simulation) maxWindowUse(l Limit, from time.Duration) float64 {
 	most, sum, first := 0.0, 0.0, 0
 	for i, e := range d.admissions {
@@ -275,7 +280,7 @@
 	return most / (l.Rate*d.bounds.Window.Seconds() + l.Burst + d.bounds.margin(l))
 }
 
-// The variants that are compared, by what is switched off.
+// variants are the compared algorithms, by the mechanisms that are switched off.
 var variants = []struct {
 	name string
 	off  policy.Disabled
@@ -293,7 +298,7 @@
 
 const meanRequest = 9200
 
-// scenarios are the patterns; a customer asks for 0.55 of its limit as a rule.
+// scenarios are the load patterns; a customer normally requests 0.55 of its limit.
 var scenarios = []scenario{
 	{"within its limit", func(d *simulation, r float64) { d.run(30*time.Second, 0.55*r, meanRequest) }},
 	{"within, four connections", func(d *simulation, r float64) {
@@ -365,7 +370,8 @@
 	}
 }
 
-// restart has hosts from one on start anew a second later.
+// restart stops n processes, beginning with the one at index from, and starts them again a
+// second later.
 func (d *simulation) restart(n, from int) {
 	for _, h := range d.processes[from : from+n] {
 		h.downUntil = d.now + time.Second
@@ -384,9 +390,8 @@
 	}
 }
 
-// TestLimitVariants compares the ways on the same loads and seeds: the most that was let in in
-// any window, of what the rule allows, and how much of what one exact count lets in was
-// refused.
+// Compares the variants on the same loads by the largest window and the conforming load
+// refused. Guards against admitting more than limit and margin allow.
 func TestLimitVariants(t *testing.T) {
 	datadriven.RunTest(t, "testdata/ways", func(t *testing.T, d *datadriven.TestData) string {
 		n, perSecond, only := 22, 150_000, ""
@@ -409,7 +414,7 @@
 				p.run(m, r)
 				most := m.maxWindowUse(m.limit, 0)
 				if w.off == nil && most > 1 {
-					t.Errorf("%s: %.2f of what the rule allows was let in", p.name, most)
+					t.Errorf("%s: admitted %.2f of the allowed amount in a window", p.name, most)
 				}
 				fmt.Fprintf(&out, "%-60s %-7s most %.2f, refused %.2f\n", p.name, w.name, most, m.conforming.refused/m.conforming.asked)
 			}
--- a/quota/peers.go
+++ b/quota/peers.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// sender is another process that tells of what it let in, or one that tells of
-// another group of them.
+// sender is another process that reports its own usage, or one that reports the usage of
+// another group.
 type sender struct {
 	name         string
 	lastReceived time.Time
-	// minDelay is the least that its news took, by the difference of the clocks; late is how
-	// much longer the last took.
+	// minDelay is the least delay of its updates, including the difference of the start
+	// times, and extraDelay how much longer the last update took.
 	minDelay   time.Duration
 	extraDelay time.Duration
-	// startedLater is set where it started after this process: all that it tells of was let in
-	// since this process counts.
+	// startedLater is set if the sender started after this process: everything it has
+	// admitted was admitted since this process has been counting.
 	startedLater bool
 	// group is set where it speaks for another group, count is for how many processes.
 	group     bool
 	processes int
-	// timeout is for how long it counts as heard.
+	// timeout is the silence after which it counts as unreachable.
 	timeout time.Duration
 }
 
-// Figures of hearing.
+// Timeouts of senders.
 const (
-	// peerTimeout is for how long a process counts as heard: four pulses of a full
-	// group. After it, its part of the limit is left to it.
+	// peerTimeout is the silence after which a process counts as unreachable: four pulses
+	// of a full group. From then on its share of the limit is left to it.
 	peerTimeout = 600 * time.Millisecond
-	// groupTimeout is the same of another group, whose news takes two pulses and a
-	// digest, at times at half the pace.
+	// groupTimeout is the same for another group, whose updates take two pulses and a
+	// digest, at times at half the rate.
 	groupTimeout = 1500 * time.Millisecond
-	// senderRetention is for how long what one told is remembered after it fell silent.
+	// senderRetention is how long the reports of a silent sender are kept.
 	senderRetention = time.Minute
 )
 
-// reachable reports whether it is heard.
 func (s *sender) reachable(now time.Time) bool {
 	return now.Sub(s.lastReceived) <= s.timeout
 }
 
-// age returns how old what it told last is at least.
+// age returns the least age of the sender's last report.
 func (s *sender) age(now time.Time) time.Duration {
 	return now.Sub(s.lastReceived) + s.extraDelay
 }
 
-// recordArrival notes news that its sender sent when it had been running for up.
+// recordArrival records an update that the sender sent at the given uptime. started is the
+// start of this process.
 func (s *sender) recordArrival(uptime time.Duration, started, now time.Time) {
 	delay := now.Sub(started) - uptime
 	if s.lastReceived.IsZero() || delay < s.minDelay {
@@ -56,8 +56,8 @@
 	s.lastReceived, s.extraDelay = now, delay-s.minDelay
 }
 
-// reachableProcesses returns how many processes share what this one knows, itself included;
-// the caller holds mu.
+// reachableProcesses returns the number of processes that exchange updates with this one,
+// including it. The caller holds mu.
 func (lim *Limiter) reachableProcesses(now time.Time) int {
 	n := 1
 	for _, s := range lim.senders {
@@ -68,9 +68,9 @@
 	return n
 }
 
-// limitFraction returns which limitFraction of all limits is left to the processes that hear each other.
-// Those that are not heard, but may be there, keep theirs. One whom the others do not
-// count in any more has none by itself.
+// limitFraction returns the fraction of each limit that belongs to the processes that reach
+// each other. Unreachable processes that may be serving keep theirs. A minority whose lease
+// has lapsed gets none, as the other processes no longer count it.
 func (lim *Limiter) limitFraction(now time.Time) float64 {
 	reachable := lim.reachableProcesses(now)
 	expected := lim.expectedProcesses(now)
@@ -84,51 +84,53 @@
 	return fraction
 }
 
-// UsageReport is what a process, or a group of them, tells of one customer.
+// UsageReport is the usage of one account at a process or a group.
 type UsageReport struct {
-	// Customer is the hash of its name.
+	// Customer is the hash of the account's name.
 	Customer uint64
-	// Total was let in since the sender's start, Demand asked lately.
+	// Total is the amount admitted since the sender's start, Demand the amount requested
+	// lately.
 	Total  float64
 	Demand float64
-	// Increase is the part of Total that was not told before.
+	// Increase is the part of Total that was not in the report before.
 	Increase float64
-	// Level is what the sender knows to be left.
+	// Level is the remaining amount as known to the sender.
 	Level float64
 }
 
-// UsageUpdate is what a process, or a group of them, tells of all customers.
+// UsageUpdate holds the reports of a process or a group on its accounts.
 type UsageUpdate struct {
 	Sender string
-	// Uptime is for how long the sender has been running.
+	// Uptime is the time since the sender's start.
 	Uptime  time.Duration
 	Reports []UsageReport
-	// Processes is how many processes the sender speaks for.
+	// Processes is the number of processes that the sender reports for.
 	Processes int
 }
 
-// reportState is what was told of an account.
+// reportState is the state of an account's reports to one group of receivers.
 type reportState struct {
 	total      float64
 	reportedAt time.Time
-	// repeated is set once the last change was told twice.
+	// repeated is set once the last change has been reported twice.
 	repeated bool
-	// refusedSince is set where requests were refusedSince since.
+	// refusedSince is set if requests were refused since the last report.
 	refusedSince bool
 }
 
-// Figures of telling.
+// Parameters of reports.
 const (
-	// refusalReportInterval is how often refusals alone are told: they change the demand.
+	// refusalReportInterval is the least time between reports that only refusals cause, as
+	// they change the demand.
 	refusalReportInterval = 100 * time.Millisecond
-	// repeatInterval is when what is too little to be told at once is told, and when a word is
-	// repeated that may be lost.
+	// repeatInterval is the time after which small changes are reported, and a report that
+	// may be lost is repeated.
 	repeatInterval = 400 * time.Millisecond
-	// maxReports bounds what one telling holds; what finds no room goes with the next.
+	// maxReports bounds the reports of one update; the others are sent with the next.
 	maxReports = 256
 )
 
-// PeerUpdate returns what this process has to tell its peers now.
+// PeerUpdate returns the usage to report to the peers now.
 func (lim *Limiter) PeerUpdate(now time.Time) UsageUpdate {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
@@ -144,8 +146,8 @@
 	return out
 }
 
-// FullUpdate returns the same of all customers that were active lately, for a process that is
-// new.
+// FullUpdate returns the usage of all accounts, up to maxReports, for a process that has
+// just started.
 func (lim *Limiter) FullUpdate(now time.Time) UsageUpdate {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
@@ -160,9 +162,9 @@
 	return out
 }
 
-// takeDue reports whether an account's total is to be told now, and notes it as told. What
-// all processes together leave untold stays within half of the margin that covers what
-// is not heard.
+// takeDue reports whether an account's total is due to be reported, and if so marks it as
+// reported. The unreported usage of all processes together stays within half of the margin
+// for unreported usage.
 func (lim *Limiter) takeDue(a *account, r *reportState, total float64, now time.Time) bool {
 	since := now.Sub(r.reportedAt)
 	unreported := math.Abs(total - r.total)
@@ -178,7 +180,7 @@
 	return false
 }
 
-// ApplyPeerUpdate takes what a peer tells.
+// ApplyPeerUpdate applies an update from a peer.
 func (lim *Limiter) ApplyPeerUpdate(u UsageUpdate, now time.Time) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
@@ -192,8 +194,8 @@
 	lim.applyUpdate(s, u, now)
 }
 
-// applyUpdate takes what a sender tells of customers. What one tells that was not heard for a
-// while was let in by its own part of the limit, which was left to it.
+// applyUpdate applies an update from a sender. What a sender admitted while it was
+// unreachable came out of its own share of the limit.
 func (lim *Limiter) applyUpdate(s *sender, update UsageUpdate, now time.Time) {
 	if !s.lastReceived.IsZero() && !s.reachable(now) {
 		lim.markPartitioned(s)
@@ -211,7 +213,7 @@
 	}
 }
 
-// markPartitioned notes that a sender was silent.
+// markPartitioned records in all accounts that a sender was unreachable.
 func (lim *Limiter) markPartitioned(s *sender) {
 	s.startedLater = false
 	for _, a := range lim.accounts {
@@ -221,11 +223,11 @@
 	}
 }
 
-// applyReport takes what a sender tells of one customer.
+// applyReport applies a sender's report on the account.
 func (a *account) applyReport(s *sender, report UsageReport, now time.Time) {
 	u := a.peerUsage[s]
 	if u == nil {
-		// Of one that was there before, what it told earlier was heard by others.
+		// Earlier usage of a process that started before this one was reported to others.
 		u = &peerUsage{}
 		if !s.startedLater {
 			u.admitted = report.Total - report.Increase
@@ -242,8 +244,8 @@
 	*u = peerUsage{admitted: report.Total, demand: report.Demand, reportedAt: now}
 }
 
-// adoptLevel takes the level of a process that has been there for long where this one has
-// just started.
+// adoptLevel takes over the level of a process that has been running for longer while this
+// process is starting.
 func (lim *Limiter) adoptLevel(a *account, update UsageUpdate, report UsageReport, now time.Time) {
 	if a.levelKnown || update.Uptime < warmUp {
 		return
@@ -254,7 +256,7 @@
 	}
 }
 
-// dropInactive forgets those that fell silent long ago.
+// dropInactive removes peers that have been silent for senderRetention.
 func (lim *Limiter) dropInactive(now time.Time) {
 	for name, s := range lim.peers {
 		if now.Sub(s.lastReceived) > senderRetention {
@@ -264,7 +266,7 @@
 	}
 }
 
-// dropSender forgets what a sender told.
+// dropSender removes a sender and its reports.
 func (lim *Limiter) dropSender(s *sender) {
 	lim.senders = slices.DeleteFunc(lim.senders, func(other *sender) bool { return other == s })
 	for _, a := range lim.accounts {
--- a/quota/targets.go
+++ b/quota/targets.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// CanAdmit reports whether one more request of an account may be let in. It counts as asked
-// for: were the account the only open one, it would get them all. An account without a
-// limit is open.
+// CanAdmit reports whether an account has room for one more request, and counts the request
+// as demand: if only this account had room, it would receive all requests. An account
+// without a limit always has room.
 func (lim *Limiter) CanAdmit(name string, size Size, now time.Time) bool {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
@@ -17,13 +17,13 @@
 	a.addDemand(cost)
 	open := lim.capacity(a, cost, now).available
 	if !open {
-		// What is asked in vain changes the others' shares.
+		// Unmet demand changes the shares of the other processes.
 		a.reported.refusedSince = true
 	}
 	return open
 }
 
-// Consume counts a request that is let in whether or not there is room for it.
+// Consume charges a request that is admitted whether or not there is room for it.
 func (lim *Limiter) Consume(name string, size Size, now time.Time) *Charge {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
@@ -38,8 +38,8 @@
 	return &Charge{limiter: lim, id: id, cost: cost, executions: 1}
 }
 
-// RetryAfter returns after how long an account is expected to have room for a request, behind
-// those who were promised it before; 0 where it has no limit.
+// RetryAfter returns the time until an account is expected to have room for a request,
+// behind those reserved before; 0 if it has no limit.
 func (lim *Limiter) RetryAfter(name string, size Size, now time.Time) time.Duration {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
@@ -52,7 +52,7 @@
 	return a.retryAfter(lim.capacity(a, cost, now))
 }
 
-// ReserveRetry counts a request that was told to come back.
+// ReserveRetry counts a refused request that is expected to be retried.
 func (lim *Limiter) ReserveRetry(name string, size Size, now time.Time) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
--- a/quota/targets_test.go
+++ b/quota/targets_test.go
@@ -10,11 +10,11 @@
 	"acaciakeel/policy"
 )
 
-// targetUnits is how much one request counts against a target's limit.
+// targetUnits is the charge of one request on a target's limit.
 const targetUnits = 1000
 
-// newTargetSimulation plays the requests to one target that takes rate a second from
-// all processes together.
+// newTargetSimulation simulates requests to one target that accepts rate requests per
+// second from all processes together.
 func newTargetSimulation(n int, rate float64, off policy.Disabled, seed uint64) *simulation {
 	d := newSimulation(0, Limit{Rate: rate * targetUnits, Burst: max(rate/4, 1) * targetUnits, Unit: Tokens}, off, seed)
 	d.bounds = Tolerance{Window: 4 * time.Second, Overrun: 0.5, Slack: 5 * targetUnits}
@@ -28,10 +28,9 @@
 	return d
 }
 
-// TestTargetLimitsAreKeptAndUsed compares the ways at a target that names a limit: the most
-// that came in any four seconds, of what the target puts up with, and how much of its
-// limit was used. Guards against a sum that no process keeps, and against capacity that
-// is left unused.
+// Compares the variants at a target with a limit, in windows of four seconds. Guards
+// against exceeding the limit in sum over all processes, and against leaving capacity
+// unused.
 func TestTargetLimitsAreKeptAndUsed(t *testing.T) {
 	const warmUpTime, length = 3 * time.Second, 20 * time.Second
 	datadriven.RunTest(t, "testdata/targets", func(t *testing.T, d *datadriven.TestData) string {
@@ -52,7 +51,7 @@
 			m.run(length, float64(factor)*rate*targetUnits, targetUnits)
 			most, used := m.maxWindowUse(m.limit, warmUpTime), float64(len(m.admissions)-before)/(rate*length.Seconds())
 			if w.off == nil && (most > 1 || used < 0.8) {
-				t.Errorf("%d processes: most %.2f of what is put up with, used %.2f of the limit", n, most, used)
+				t.Errorf("%d processes: at most %.2f of the tolerated amount, %.2f of the limit used", n, most, used)
 			}
 			out += fmt.Sprintf("%-7s most %.2f, used %.2f\n", w.name, most, used)
 		}
--- a/quota/usage.go
+++ b/quota/usage.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Change is a customer that went over its limit, or came back within it.
+// Change is a customer that went over its limit or came back within it.
 type Change struct {
 	Customer string
 	Over     bool
 	CustomerUsage
 }
 
-// CustomerUsage is a customer's use against its limit, as one process knows it.
+// CustomerUsage is a customer's usage and limit as known at one process.
 type CustomerUsage struct {
 	Customer string  `json:"customer"`
 	Unit     Unit    `json:"unit"`
 	Rate     float64 `json:"rate_per_second"`
 	Burst    float64 `json:"burst"`
-	// Remaining is what may be let in now over all processes; below 0 where more was.
+	// Remaining is the amount that all processes together may admit now; negative if more
+	// than the limit was admitted.
 	Remaining float64 `json:"left"`
-	// Demand is how much a second is asked of this process, let in or not, and
-	// AskedOfAll of all that it hears.
+	// Demand is the amount requested per second at this process, admitted or not, and
+	// TotalDemand the amount at all reachable processes.
 	Demand      float64 `json:"asked_per_second"`
 	TotalDemand float64 `json:"asked_of_all_per_second"`
 	Admitted    int64   `json:"admitted_requests"`
@@ -30,25 +31,25 @@
 	Over        bool    `json:"over"`
 }
 
-// State is what a process knows of all limits.
+// State is the state of all limits as known at one process.
 type State struct {
-	// Members is how many processes serve, Heard how many of them are heard, and Part
-	// which part of each limit is left to these.
+	// Members is the number of serving processes, Reachable how many of them this process
+	// reaches, and LimitFraction the fraction of each limit that belongs to these.
 	Members       int             `json:"members"`
 	Reachable     int             `json:"heard"`
 	LimitFraction float64         `json:"part"`
 	Customers     []CustomerUsage `json:"customers"`
 }
 
-// Figures of what is told of customers over their limits.
+// Parameters of changes.
 const (
-	// overLimitHold is for how long a customer counts as over its limit after a refusal.
+	// overLimitHold is how long a customer counts as over its limit after a refusal.
 	overLimitHold = 5 * time.Second
 	// maxChanges bounds the changes that wait to be logged.
 	maxChanges = 256
 )
 
-// recordRefusal notes a refusal of a customer; the caller holds mu.
+// recordRefusal records that a request of the customer was refused. The caller holds mu.
 func (lim *Limiter) recordRefusal(a *account, now time.Time) {
 	a.lastRefusedAt = now
 	if !a.overLimit {
@@ -63,8 +64,8 @@
 	}
 }
 
-// Changes returns the customers that went over their limits or came back within them
-// since it was asked last.
+// Changes returns the customers that went over their limits or came back within them since
+// the last call.
 func (lim *Limiter) Changes(now time.Time) []Change {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
@@ -87,7 +88,7 @@
 	}
 }
 
-// State returns what is known of all limits, by customer.
+// State returns the state of all limits, sorted by customer.
 func (lim *Limiter) State(now time.Time) State {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
