--- a/forecast/estimator.go
+++ b/forecast/estimator.go
@@ -199,6 +199,7 @@
 	return e.fitted
 }
 
+// Coefficients returns the coefficients fitted so far.
 func (e *Estimator) Coefficients(now time.Time) Coefficients {
 	f := e.current(now)
 	return Coefficients{Base: f[0], PerKiloToken: f[1], PerMegaPair: f[2], TargetTransfer: f[3], StoreTransfer: f[4]}
--- a/forecast/fit.go
+++ b/forecast/fit.go
@@ -33,6 +33,7 @@
 	s.Weight++
 }
 
+// Merge adds the sums of other samples.
 func (s *Sums) Merge(other Sums) {
 	for i := range s.Cross {
 		s.Cross[i] += other.Cross[i]
@@ -63,10 +64,9 @@
 	return decayFactor(min(max(elapsed, 0), maxDecayStep), decayTime)
 }
 
-// decayFactor returns exp(-elapsed/memory), the factor of an exponential decay with memory
-// as its time constant.
-func decayFactor(elapsed, memory time.Duration) float64 {
-	return math.Exp(-elapsed.Seconds() / memory.Seconds())
+// decayFactor returns the factor of an exponential decay with the given time constant.
+func decayFactor(elapsed, timeConstant time.Duration) float64 {
+	return math.Exp(-elapsed.Seconds() / timeConstant.Seconds())
 }
 
 // element returns the product of features i and j.
--- a/forecast/load.go
+++ b/forecast/load.go
@@ -24,13 +24,13 @@
 const loadDecayTime = 5 * time.Second
 
 // ObserveArrival adds the prefill time of an arriving request.
-func (e *Estimator) ObserveArrival(reading time.Duration, light bool, now time.Time) {
+func (e *Estimator) ObserveArrival(prefill time.Duration, light bool, now time.Time) {
 	e.decayOffered(now)
 	if light {
-		e.offered.Light += reading.Seconds() / loadDecayTime.Seconds()
+		e.offered.Light += prefill.Seconds() / loadDecayTime.Seconds()
 		return
 	}
-	e.offered.Heavy += reading.Seconds() / loadDecayTime.Seconds()
+	e.offered.Heavy += prefill.Seconds() / loadDecayTime.Seconds()
 	e.offered.HeavyRate += 1 / loadDecayTime.Seconds()
 }
 
@@ -39,9 +39,9 @@
 // otherwise a starting process would report a tenth of its load in the first half second.
 func (e *Estimator) offeredRate(now time.Time) OfferedLoad {
 	e.decayOffered(now)
-	share := 1 - decayFactor(max(now.Sub(e.firstArrival), minElapsed), loadDecayTime)
+	accumulated := 1 - decayFactor(max(now.Sub(e.firstArrival), minElapsed), loadDecayTime)
 	var out OfferedLoad
-	out.addScaled(e.offered, 1/share)
+	out.addScaled(e.offered, 1/accumulated)
 	return out
 }
 
@@ -58,14 +58,14 @@
 	if e.firstArrival.IsZero() {
 		e.firstArrival = now
 	}
-	share := 1.0
+	factor := 1.0
 	if elapsed := now.Sub(e.offeredAt); !e.offeredAt.IsZero() && elapsed > 0 {
-		share = decayFactor(elapsed, loadDecayTime)
+		factor = decayFactor(elapsed, loadDecayTime)
 	}
-	e.offered.Light *= share
-	e.offered.Heavy *= share
-	e.offered.HeavyRate *= share
-	e.offered.LongRate *= share
+	e.offered.Light *= factor
+	e.offered.Heavy *= factor
+	e.offered.HeavyRate *= factor
+	e.offered.LongRate *= factor
 	e.offeredAt = now
 }
 
--- a/forecast/weightloads_test.go
+++ b/forecast/weightloads_test.go
@@ -26,7 +26,7 @@
 func TestConcurrentLoadsRunAtFullSpeed(t *testing.T) {
 	// The shorter the loads, the more of an order is draining, and the more orders overlap.
 	for _, test := range []struct {
-		runners int
+		targets int
 		load    time.Duration
 		want    int
 	}{
@@ -38,15 +38,15 @@
 	} {
 		var l WeightLoads
 		l.Observe(test.load)
-		if at := l.MaxConcurrent(test.runners); at != test.want {
-			t.Errorf("%d of %d targets at once with loads of %v, want %d", at, test.runners, test.load, test.want)
+		if at := l.MaxConcurrent(test.targets); at != test.want {
+			t.Errorf("%d of %d targets at once with loads of %v, want %d", at, test.targets, test.load, test.want)
 		}
 	}
 }
 
 // Guards against an estimate inflated by targets that drain before they load, up to four
 // times as long, and against one that does not follow engines with slower loads.
-func TestLoadDurationFollowsIdleRunners(t *testing.T) {
+func TestLoadDurationFollowsIdleTargets(t *testing.T) {
 	var l WeightLoads
 	for i := range 40 {
 		l.Observe(2*time.Second + time.Duration(i%5)*time.Second)
--- a/health/health.go
+++ b/health/health.go
@@ -65,6 +65,7 @@
 	t.probeInterval = 0
 }
 
+// State returns the health of the target at the given time.
 func (t *Tracker) State(now time.Time) State {
 	switch {
 	case t.failures >= deadThreshold:
--- a/poison/reports.go
+++ b/poison/reports.go
@@ -147,7 +147,7 @@
 }
 
 // ScheduleResend schedules the relevant records to be reported once more. It is called when
-// a process is heard for the first time, as a process that has just started knows no
+// the first message of a process arrives, as a process that has just started knows no
 // suspects.
 func (t *Table) ScheduleResend(now time.Time) {
 	t.mu.Lock()
@@ -185,9 +185,7 @@
 	if report.verdictLapsed() {
 		// The verdict has expired at the sender. Adding the crashes must not start a new
 		// verdict here, as no target has crashed since.
-		addCrash = func(c Case, instance fleet.Instance, origin Origin, now time.Time) {
-			t.addCrash(c, instance, origin, now)
-		}
+		addCrash = func(c Case, inst fleet.Instance, o Origin, now time.Time) { t.addCrash(c, inst, o, now) }
 	}
 	for _, e := range report.Crashes {
 		if !e.Cleared {
--- a/poison/table_test.go
+++ b/poison/table_test.go
@@ -12,9 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-func instance(n int) fleet.Instance {
-	return fleet.Instance{ID: fmt.Sprintf("r%d", n), Born: int64(n + 1)}
-}
+func inst(n int) fleet.Instance { return fleet.Instance{ID: fmt.Sprintf("r%d", n), Born: int64(n + 1)} }
 
 func caseOf(name string) Case {
 	return Case{Content: Content{URI: name}.Fingerprint(), Service: "lm", Customer: "c1", Request: name}
@@ -40,22 +38,22 @@
 func TestBrokenResponsesAloneCreateNoSuspect(t *testing.T) {
 	table, c := New(nil), caseOf("x")
 	for i := range 10 {
-		table.RecordBrokenResponse(c, instance(i), start, start.Add(time.Duration(i)*time.Second))
+		table.RecordBrokenResponse(c, inst(i), start, start.Add(time.Duration(i)*time.Second))
 	}
 	wantStatus(t, table, c, start.Add(10*time.Second), Free)
-	table.RecordCrash(instance(0), start.Add(10*time.Second))
+	table.RecordCrash(inst(0), start.Add(10*time.Second))
 	wantStatus(t, table, c, start.Add(10*time.Second), Free)
 }
 
 // Guards against a crashing request that is never refused, and against refusing the other
 // fifteen that shared its first target and succeeded later.
 func TestCrashingContentAmongManyIsRefused(t *testing.T) {
-	table, crasher := New(nil), caseOf("crasher")
+	table, crasher := New(nil), caseOf("guilty")
 	all := []Case{crasher}
 	for i := range 15 {
 		all = append(all, caseOf(fmt.Sprint("other ", i)))
 	}
-	crashTarget(table, instance(0), start, all...)
+	crashTarget(table, inst(0), start, all...)
 	for _, c := range all {
 		wantStatus(t, table, c, start, Suspect)
 	}
@@ -63,9 +61,9 @@
 		table.RecordSuccess(c.Content, start.Add(time.Second))
 		wantStatus(t, table, c, start.Add(time.Second), Free)
 	}
-	crashTarget(table, instance(1), start.Add(time.Second), crasher)
+	crashTarget(table, inst(1), start.Add(time.Second), crasher)
 	wantStatus(t, table, crasher, start.Add(time.Second), Suspect)
-	crashTarget(table, instance(2), start.Add(2*time.Second), crasher)
+	crashTarget(table, inst(2), start.Add(2*time.Second), crasher)
 	wantStatus(t, table, crasher, start.Add(2*time.Second), Refused)
 	if n := table.RefusedCount(start.Add(2 * time.Second)); n != 1 {
 		t.Errorf("%d contents count as refused", n)
@@ -80,7 +78,7 @@
 func TestSuccessClearsHotContent(t *testing.T) {
 	table, hot := New(nil), caseOf("hot")
 	for i := range 5 {
-		crashTarget(table, instance(i), start, hot)
+		crashTarget(table, inst(i), start, hot)
 	}
 	wantStatus(t, table, hot, start, Refused)
 	table.RecordSuccess(hot.Content, start.Add(100*time.Millisecond))
@@ -88,7 +86,7 @@
 	// Late reports of the same crashes do not restore the verdict.
 	other := New(nil)
 	for i := range 5 {
-		crashTarget(other, instance(i), start, hot)
+		crashTarget(other, inst(i), start, hot)
 	}
 	table.ApplyReports(other.NextReports(start), start.Add(200*time.Millisecond))
 	wantStatus(t, table, hot, start.Add(200*time.Millisecond), Free)
@@ -98,10 +96,10 @@
 // to several processes at the same moment.
 func TestSuspectsRunOneAtATime(t *testing.T) {
 	table, other, c := New(nil), New(nil), caseOf("x")
-	crashTarget(table, instance(0), start, c)
+	crashTarget(table, inst(0), start, c)
 	first := table.Track(c.Content)
 	wantStatus(t, table, c, start, Suspect)
-	first.SentTo(instance(1))
+	first.SentTo(inst(1))
 	wantStatus(t, table, c, start, Waiting)
 	other.ApplyReports(table.NextReports(start), start)
 	wantStatus(t, other, c, start, Waiting)
@@ -109,15 +107,15 @@
 		t.Errorf("a free content has to avoid %v", avoid)
 	}
 	y := caseOf("y")
-	crashTarget(other, instance(2), start, y)
-	if apart := other.Evaluate(y.Content, start).Avoid; len(apart) != 1 || apart[0] != instance(1) {
+	crashTarget(other, inst(2), start, y)
+	if apart := other.Evaluate(y.Content, start).Avoid; len(apart) != 1 || apart[0] != inst(1) {
 		t.Errorf("another suspect has to avoid %v", apart)
 	}
 	// A third suspect at the same target does not affect the report of the first.
 	z := caseOf("z")
-	crashTarget(table, instance(0), start, z)
+	crashTarget(table, inst(0), start, z)
 	third := table.Track(z.Content)
-	third.SentTo(instance(1))
+	third.SentTo(inst(1))
 	other.ApplyReports(table.NextReports(start), start)
 	third.Finish()
 	wantStatus(t, other, c, start, Waiting)
@@ -137,9 +135,9 @@
 // that broke off the first response.
 func TestCrashAfterSuccessIsNotCounted(t *testing.T) {
 	table, c := New(nil), caseOf("x")
-	table.RecordBrokenResponse(c, instance(0), start, start)
+	table.RecordBrokenResponse(c, inst(0), start, start)
 	table.RecordSuccess(c.Content, start.Add(time.Second))
-	table.RecordCrash(instance(0), start.Add(2*time.Second))
+	table.RecordCrash(inst(0), start.Add(2*time.Second))
 	wantStatus(t, table, c, start.Add(2*time.Second), Free)
 }
 
@@ -147,14 +145,14 @@
 // comes seconds after the broken response.
 func TestCrashEvidenceBeforeOrAfterBrokenResponse(t *testing.T) {
 	table, early, late := New(nil), caseOf("early"), caseOf("late")
-	table.RecordCrash(instance(0), start)
-	table.RecordBrokenResponse(early, instance(0), start, start.Add(10*time.Millisecond))
+	table.RecordCrash(inst(0), start)
+	table.RecordBrokenResponse(early, inst(0), start, start.Add(10*time.Millisecond))
 	wantStatus(t, table, early, start.Add(10*time.Millisecond), Suspect)
-	table.RecordBrokenResponse(late, instance(1), start, start)
-	if !table.AwaitsEvidence(instance(1)) {
+	table.RecordBrokenResponse(late, inst(1), start, start)
+	if !table.AwaitsEvidence(inst(1)) {
 		t.Error("the broken response does not wait for evidence")
 	}
-	table.RecordCrash(instance(1), start.Add(evidenceTimeout+time.Second))
+	table.RecordCrash(inst(1), start.Add(evidenceTimeout+time.Second))
 	wantStatus(t, table, late, start.Add(evidenceTimeout+time.Second), Free)
 }
 
@@ -164,23 +162,23 @@
 	table, c := New(nil), caseOf("x")
 	for i := range 3 {
 		sent := start.Add(time.Duration(i) * time.Second)
-		table.RecordBrokenResponse(c, instance(0), sent, sent.Add(100*time.Millisecond))
-		table.RecordCrash(instance(0), sent.Add(110*time.Millisecond))
-		table.RecordBrokenResponse(c, instance(0), sent, sent.Add(120*time.Millisecond))
+		table.RecordBrokenResponse(c, inst(0), sent, sent.Add(100*time.Millisecond))
+		table.RecordCrash(inst(0), sent.Add(110*time.Millisecond))
+		table.RecordBrokenResponse(c, inst(0), sent, sent.Add(120*time.Millisecond))
 		if got := table.Evaluate(c.Content, sent).Crashes; got != i+1 {
 			t.Errorf("%d crashes counted after %d", got, i+1)
 		}
 	}
 	// Two requests broken off in the same unlisted instance are one crash.
 	sent := start.Add(3 * time.Second)
-	table.RecordBrokenResponse(c, instance(0), sent, sent.Add(100*time.Millisecond))
-	table.RecordBrokenResponse(c, instance(0), sent.Add(time.Millisecond), sent.Add(100*time.Millisecond))
-	table.RecordCrash(instance(0), sent.Add(110*time.Millisecond))
+	table.RecordBrokenResponse(c, inst(0), sent, sent.Add(100*time.Millisecond))
+	table.RecordBrokenResponse(c, inst(0), sent.Add(time.Millisecond), sent.Add(100*time.Millisecond))
+	table.RecordCrash(inst(0), sent.Add(110*time.Millisecond))
 	if got := table.Evaluate(c.Content, sent).Crashes; got != 4 {
 		t.Errorf("%d crashes counted after 4, the last with two broken responses", got)
 	}
 	// A listed instance is the same to all processes that see it crash.
-	named1, named2 := instance(0), instance(0)
+	named1, named2 := inst(0), inst(0)
 	named1.Born, named2.Born = 500, 500
 	table.RecordBrokenResponse(c, named1, sent.Add(time.Second), sent.Add(1100*time.Millisecond))
 	table.RecordCrash(named2, sent.Add(1110*time.Millisecond))
@@ -189,7 +187,7 @@
 	}
 	// A response broken off in the next instance waits for its own evidence.
 	other := caseOf("other")
-	table.RecordBrokenResponse(other, instance(0), sent.Add(500*time.Millisecond), sent.Add(600*time.Millisecond))
+	table.RecordBrokenResponse(other, inst(0), sent.Add(500*time.Millisecond), sent.Add(600*time.Millisecond))
 	wantStatus(t, table, other, sent.Add(600*time.Millisecond), Free)
 }
 
@@ -200,12 +198,12 @@
 	table := New(func(c Change) { kinds = append(kinds, c.Kind) })
 	c := caseOf("x")
 	for i := range 3 {
-		crashTarget(table, instance(i), start, c)
+		crashTarget(table, inst(i), start, c)
 	}
 	later := start.Add(initialVerdictDuration + time.Second)
 	table.Sweep(later)
 	wantStatus(t, table, c, later, Suspect)
-	crashTarget(table, instance(3), later, c)
+	crashTarget(table, inst(3), later, c)
 	if j := table.Evaluate(c.Content, later); j.Status != Refused || j.Remaining != 2*initialVerdictDuration {
 		t.Errorf("decision %+v", j)
 	}
@@ -229,7 +227,7 @@
 func TestReportsDoNotRenewExpiredVerdict(t *testing.T) {
 	table, c := New(nil), caseOf("x")
 	for i := range 3 {
-		crashTarget(table, instance(i), start, c)
+		crashTarget(table, inst(i), start, c)
 	}
 	stored := table.PendingWrites(true, start.Add(standInDelay))[0]
 	later := start.Add(initialVerdictDuration + time.Second)
@@ -239,24 +237,24 @@
 	wantStatus(t, fromStore, c, later, Suspect)
 	fromPeer.ApplyReports(table.BootstrapReports(later), later)
 	wantStatus(t, fromPeer, c, later, Suspect)
-	crashTarget(fromPeer, instance(3), later, c)
+	crashTarget(fromPeer, inst(3), later, c)
 	wantStatus(t, fromPeer, c, later, Refused)
 }
 
 // Guards against unbounded memory when a hostile customer sends a new content each time,
 // and against evicting verdicts or other customers' suspects for it.
 func TestRecordsAreBounded(t *testing.T) {
-	table, crasher, other := New(nil), caseOf("crasher"), caseOf("other")
+	table, crasher, other := New(nil), caseOf("guilty"), caseOf("other")
 	other.Customer = "c2"
 	for i := range 3 {
-		crashTarget(table, instance(i), start, crasher)
+		crashTarget(table, inst(i), start, crasher)
 	}
-	crashTarget(table, instance(3), start, other)
+	crashTarget(table, inst(3), start, other)
 	for i := range 3 * maxRecords {
 		c := caseOf(fmt.Sprint("flood ", i))
-		table.RecordBrokenResponse(c, instance(4), start, start.Add(time.Duration(i)))
+		table.RecordBrokenResponse(c, inst(4), start, start.Add(time.Duration(i)))
 		if i%100 == 0 {
-			table.RecordCrash(instance(4), start.Add(time.Duration(i)))
+			table.RecordCrash(inst(4), start.Add(time.Duration(i)))
 		}
 	}
 	if n := len(table.records); n > maxRecordsPerCustomer+1 {
@@ -267,7 +265,7 @@
 	for i := range maxRecords {
 		c := caseOf(fmt.Sprint("customers ", i))
 		c.Customer = fmt.Sprint("c", i)
-		crashTarget(table, instance(5), start.Add(time.Second), c)
+		crashTarget(table, inst(5), start.Add(time.Second), c)
 	}
 	if n := len(table.records); n > maxRecords {
 		t.Errorf("%d records", n)
@@ -280,7 +278,7 @@
 func TestVerdictsSurviveInStore(t *testing.T) {
 	table, c := New(nil), caseOf("x")
 	for i := range 3 {
-		crashTarget(table, instance(i), start, c)
+		crashTarget(table, inst(i), start, c)
 	}
 	if early := table.PendingWrites(true, start); len(early) != 0 {
 		t.Errorf("%d verdicts written before the delay", len(early))
@@ -320,7 +318,7 @@
 func TestStandInWritesVerdictOfCrashedProcess(t *testing.T) {
 	observer, other, c := New(nil), New(nil), caseOf("x")
 	for i := range 3 {
-		crashTarget(observer, instance(i), start, c)
+		crashTarget(observer, inst(i), start, c)
 	}
 	other.ApplyReports(observer.NextReports(start), start)
 	wantStatus(t, other, c, start, Refused)
@@ -336,7 +334,7 @@
 func TestLostVerdictIsRewritten(t *testing.T) {
 	table, c := New(nil), caseOf("x")
 	for i := range 3 {
-		crashTarget(table, instance(i), start, c)
+		crashTarget(table, inst(i), start, c)
 	}
 	now := start.Add(standInDelay)
 	table.MarkWritten(table.PendingWrites(false, now)[0], 7)
@@ -351,7 +349,7 @@
 func TestClearedVerdictIsLiftedInTheStore(t *testing.T) {
 	table, c := New(nil), caseOf("x")
 	for i := range 3 {
-		crashTarget(table, instance(i), start, c)
+		crashTarget(table, inst(i), start, c)
 	}
 	now := start.Add(time.Second)
 	table.MarkWritten(table.PendingWrites(false, now)[0], 7)
@@ -390,7 +388,7 @@
 			if rapid.IntRange(0, 4).Draw(r, "kind") == 0 {
 				tables[i].RecordSuccess(c.Content, now)
 			} else {
-				crashTarget(tables[i], instance(rapid.IntRange(0, 5).Draw(r, "life")), now, c)
+				crashTarget(tables[i], inst(rapid.IntRange(0, 5).Draw(r, "life")), now, c)
 			}
 			reports = append(reports, tables[i].NextReports(now))
 		}
@@ -422,15 +420,15 @@
 // Guards against filling a small VM's link for seconds with reports when a dozen targets
 // crash at once, each with sixty requests of one entry.
 func TestReportBandwidthIsBounded(t *testing.T) {
-	table, crasher := New(nil), caseOf("crasher")
+	table, crasher := New(nil), caseOf("guilty")
 	for i := range 12 {
 		for j := range 60 {
-			table.RecordBrokenResponse(caseOf(fmt.Sprint(i, "-", j)), instance(i), start, start)
+			table.RecordBrokenResponse(caseOf(fmt.Sprint(i, "-", j)), inst(i), start, start)
 		}
-		table.RecordCrash(instance(i), start)
+		table.RecordCrash(inst(i), start)
 	}
-	crashTarget(table, instance(20), start, crasher)
-	crashTarget(table, instance(21), start, crasher)
+	crashTarget(table, inst(20), start, crasher)
+	crashTarget(table, inst(21), start, crasher)
 	sent, first := 0, table.NextReports(start)
 	if len(first) == 0 || first[0].Content != crasher.Content {
 		t.Error("the content with two crashes is not reported first")
@@ -445,7 +443,7 @@
 			sent += r.bytes()
 		}
 		request := table.Track(caseOf("0-0").Content)
-		request.SentTo(instance(30))
+		request.SentTo(inst(30))
 		request.Finish()
 	}
 	if most := reportBurst + seconds*reportRate + reportBytes + 2*crashBytes; sent > most {
--- a/quota/account.go
+++ b/quota/account.go
@@ -228,14 +228,14 @@
 		return capacity{available: a.level >= cost, shortfall: cost - a.level, growthRate: growthRate}
 	}
 	margin := lim.unreportedMargin(a)
-	left := a.level - max(0, lim.estimateUnreported(a, now)-margin)
-	if left > 0 {
+	remaining := a.level - max(0, lim.estimateUnreported(a, now)-margin)
+	if remaining > 0 {
 		return capacity{available: true}
 	}
 	if lim.disabled[policy.Pacing] {
-		return capacity{shortfall: -left, growthRate: growthRate}
+		return capacity{shortfall: -remaining, growthRate: growthRate}
 	}
-	shortfall := max(-left, -a.slice)
+	shortfall := max(-remaining, -a.slice)
 	if lim.staggerCost > 0 {
 		// Unreported usage of peers limits the level, not the slice, so it does not count
 		// here.
@@ -253,11 +253,11 @@
 		if !s.reachable(now) {
 			continue
 		}
-		asked, age := 0.0, s.age(now)
+		demand, age := 0.0, s.age(now)
 		if u := a.peerUsage[s]; u != nil {
-			asked = u.demandRate(now)
+			demand = u.demandRate(now)
 		}
-		sum += asked*age.Seconds() + max(0, float64(s.processes)*own-asked)*max(0, age-s.timeout/4).Seconds()
+		sum += demand*age.Seconds() + max(0, float64(s.processes)*own-demand)*max(0, age-s.timeout/4).Seconds()
 	}
 	return sum
 }
--- a/quota/groups.go
+++ b/quota/groups.go
@@ -14,9 +14,9 @@
 		}
 	}
 	for id, a := range lim.accounts {
-		t := a.groupReport(group)
-		reported := t.total
-		if len(out.Reports) < maxReports && lim.takeDue(a, t, a.admittedInGroup, now) {
+		r := a.groupReport(group)
+		reported := r.total
+		if len(out.Reports) < maxReports && lim.takeDue(a, r, a.admittedInGroup, now) {
 			lim.refresh(a, now)
 			out.Reports = append(out.Reports, UsageReport{Customer: id, Total: a.admittedInGroup, Increase: a.admittedInGroup - reported, Demand: a.groupDemand(now), Level: a.level})
 		}
@@ -58,10 +58,10 @@
 	if a.reportedToGroups == nil {
 		a.reportedToGroups = map[int]*reportState{}
 	}
-	t := a.reportedToGroups[group]
-	if t == nil {
-		t = &reportState{}
-		a.reportedToGroups[group] = t
+	r := a.reportedToGroups[group]
+	if r == nil {
+		r = &reportState{}
+		a.reportedToGroups[group] = r
 	}
-	return t
+	return r
 }
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -127,8 +127,8 @@
 // Guards against usage that is never counted because a datagram was lost.
 func TestLostUpdatesAreRecovered(t *testing.T) {
 	a, b := newTestLimiter(2), newTestLimiter(2)
-	for _, book := range []*Limiter{a, b} {
-		book.SetLimits(limits(Limit{Rate: 100, Burst: 1000, Unit: Tokens}), testStart)
+	for _, limiter := range []*Limiter{a, b} {
+		limiter.SetLimits(limits(Limit{Rate: 100, Burst: 1000, Unit: Tokens}), testStart)
 	}
 	update := func(at time.Duration) UsageUpdate {
 		n := a.PeerUpdate(testStart.Add(at))
@@ -165,20 +165,20 @@
 
 // Guards against a partition that also uses the other processes' share of a limit.
 func TestUnreachableProcessesKeepTheirShare(t *testing.T) {
-	leased := true
-	b := NewLimiter(Tolerance{}, nil, func() bool { return leased }, testStart.Add(-time.Minute))
+	hasLease := true
+	b := NewLimiter(Tolerance{}, nil, func() bool { return hasLease }, testStart.Add(-time.Minute))
 	b.SetMembers(4)
 	b.SetLimits(limits(Limit{Rate: 100, Burst: 1000, Unit: Tokens}), testStart)
-	part := func() float64 { return b.State(testStart.Add(time.Second)).LimitFraction }
-	if got := part(); got != 0.25 {
+	fraction := func() float64 { return b.State(testStart.Add(time.Second)).LimitFraction }
+	if got := fraction(); got != 0.25 {
 		t.Errorf("one of four reachable: fraction %v, want 0.25", got)
 	}
-	leased = false
-	if got := part(); got != 0 {
+	hasLease = false
+	if got := fraction(); got != 0 {
 		t.Errorf("one of four reachable without a lease: fraction %v, want 0", got)
 	}
 	b.ApplyPeerUpdate(UsageUpdate{Sender: "x"}, testStart.Add(time.Second))
-	if got := part(); got != 0.5 {
+	if got := fraction(); got != 0.5 {
 		t.Errorf("two of four reachable without a lease: fraction %v, want 0.5", got)
 	}
 }
@@ -232,12 +232,12 @@
 	if wait <= 0 || wait >= maxRetryAfter {
 		t.Fatalf("retry after %v", wait)
 	}
-	opened, at := false, now
-	for end := now.Add(wait + time.Second); !opened && at.Before(end); at = at.Add(50 * time.Millisecond) {
+	available, at := false, now
+	for end := now.Add(wait + time.Second); !available && at.Before(end); at = at.Add(50 * time.Millisecond) {
 		b.ApplyPeerUpdate(other, at)
-		opened = b.CanAdmit("c", one, at)
+		available = b.CanAdmit("c", one, at)
 	}
-	if took := at.Sub(now); !opened || took < wait/2 {
-		t.Errorf("retry after %v, but room after %v (%v)", wait, took, opened)
+	if took := at.Sub(now); !available || took < wait/2 {
+		t.Errorf("retry after %v, but room after %v (%v)", wait, took, available)
 	}
 }
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -17,8 +17,8 @@
 // simulation runs one customer's requests at many processes in virtual time. The processes
 // exchange datagrams that are delayed or lost, and learn the membership from a store.
 type simulation struct {
-	bounds        Tolerance
-	off           policy.Disabled
+	tolerance     Tolerance
+	disabled      policy.Disabled
 	limit         Limit
 	rand          *rand.Rand
 	now           time.Duration
@@ -26,7 +26,7 @@
 	pulseInterval time.Duration
 	meanDelay     time.Duration
 	lossRate      float64
-	// inFlight is what arrives, by the step.
+	// inFlight holds the messages by the step of their arrival.
 	inFlight   map[time.Duration][]message
 	admissions []admission
 	// dueRequests grows by the requests that are due; each one takes an exponentially
@@ -79,7 +79,7 @@
 
 func newSimulation(n int, l Limit, off policy.Disabled, seed uint64) *simulation {
 	d := &simulation{
-		bounds: Tolerance{Window: 8 * time.Second, Overrun: 0.1, Slack: 72_000}, off: off, limit: l,
+		tolerance: Tolerance{Window: 8 * time.Second, Overrun: 0.1, Slack: 72_000}, disabled: off, limit: l,
 		inFlight: map[time.Duration][]message{}, rand: rand.New(rand.NewPCG(seed, 7)), pulseInterval: max(50, time.Duration(5*min(n, 25))) * time.Millisecond, meanDelay: 15 * time.Millisecond, exactLevel: l.Burst,
 	}
 	for range n {
@@ -94,7 +94,7 @@
 	h.formerLeaseUntil = h.leaseUntil
 	h.name = string(rune(d.rand.Uint32()%100_000)) + d.now.String()
 	h.leaseUntil = d.now + simLease
-	h.limiter = NewLimiter(d.bounds, d.off, func() bool { return d.now < h.leaseUntil }, d.clock())
+	h.limiter = NewLimiter(d.tolerance, d.disabled, func() bool { return d.now < h.leaseUntil }, d.clock())
 	h.limiter.SetMembers(members)
 	h.limiter.SetLimits(map[string]Limit{"c": d.limit}, d.clock())
 	h.nextPulse = d.now + time.Duration(d.rand.Int64N(int64(d.pulseInterval)))
@@ -135,41 +135,41 @@
 			h.leaseUntil = d.now + simLease
 		}
 	}
-	there, starts := 0, 0
+	members, formerInstances := 0, 0
 	for _, h := range d.processes {
 		if d.now < h.leaseUntil+simStoreInterval {
-			there++
+			members++
 		}
 		if d.now < h.formerLeaseUntil {
-			starts++
+			formerInstances++
 		}
 	}
 	// Former instances are members until their leases expire.
-	groups := (there + starts + 24) / 25
+	groups := (members + formerInstances + 24) / 25
 	for i, h := range d.processes {
 		h.group = i * groups / len(d.processes)
 	}
 	for _, h := range d.processes {
 		if d.up(h) && d.now >= h.partitionedUntil && d.now%(simStoreInterval) < simStep {
-			h.limiter.SetMembers(there)
+			h.limiter.SetMembers(members)
 		}
 	}
 }
 
 func (d *simulation) sendUpdates(h *process) {
-	news := h.limiter.PeerUpdate(d.clock())
-	news.Sender = h.name
+	update := h.limiter.PeerUpdate(d.clock())
+	update.Sender = h.name
 	for _, to := range d.processes {
 		if to != h && to.group == h.group && d.delivers(h, to) {
-			d.send(message{to: to, update: news, group: -1})
+			d.send(message{to: to, update: update, group: -1})
 		}
 	}
 	for group := range d.processes[len(d.processes)-1].group + 1 {
 		if group != h.group && d.isFirst(h.group, h) {
-			news := h.limiter.GroupUpdate(group, d.clock())
-			news.Sender = h.name
+			update := h.limiter.GroupUpdate(group, d.clock())
+			update.Sender = h.name
 			if to := d.firstProcess(group); to != nil && d.delivers(h, to) {
-				d.send(message{to: to, update: news, group: h.group})
+				d.send(message{to: to, update: update, group: h.group})
 			}
 		}
 	}
@@ -270,14 +270,14 @@
 	most, sum, first := 0.0, 0.0, 0
 	for i, e := range d.admissions {
 		sum += e.cost
-		for ; d.admissions[first].at < e.at-d.bounds.Window; first++ {
+		for ; d.admissions[first].at < e.at-d.tolerance.Window; first++ {
 			sum -= d.admissions[first].cost
 		}
 		if first <= i && d.admissions[first].at >= from {
 			most = max(most, sum)
 		}
 	}
-	return most / (l.Rate*d.bounds.Window.Seconds() + l.Burst + d.bounds.margin(l))
+	return most / (l.Rate*d.tolerance.Window.Seconds() + l.Burst + d.tolerance.margin(l))
 }
 
 // variants are the compared algorithms, by the mechanisms that are switched off.
--- a/quota/peers.go
+++ b/quota/peers.go
@@ -18,7 +18,8 @@
 	// startedLater is set if the sender started after this process: everything it has
 	// admitted was admitted since this process has been counting.
 	startedLater bool
-	// group is set where it speaks for another group, count is for how many processes.
+	// group is set if it reports for another group, and processes is the number of
+	// processes that it reports for.
 	group     bool
 	processes int
 	// timeout is the silence after which it counts as unreachable.
--- a/quota/targets.go
+++ b/quota/targets.go
@@ -15,12 +15,12 @@
 	lim.refresh(a, now)
 	cost := a.limit.cost(size)
 	a.addDemand(cost)
-	open := lim.capacity(a, cost, now).available
-	if !open {
+	available := lim.capacity(a, cost, now).available
+	if !available {
 		// Unmet demand changes the shares of the other processes.
 		a.reported.refusedSince = true
 	}
-	return open
+	return available
 }
 
 // Consume charges a request that is admitted whether or not there is room for it.
--- a/quota/targets_test.go
+++ b/quota/targets_test.go
@@ -17,7 +17,7 @@
 // second from all processes together.
 func newTargetSimulation(n int, rate float64, off policy.Disabled, seed uint64) *simulation {
 	d := newSimulation(0, Limit{Rate: rate * targetUnits, Burst: max(rate/4, 1) * targetUnits, Unit: Tokens}, off, seed)
-	d.bounds = Tolerance{Window: 4 * time.Second, Overrun: 0.5, Slack: 5 * targetUnits}
+	d.tolerance = Tolerance{Window: 4 * time.Second, Overrun: 0.5, Slack: 5 * targetUnits}
 	d.pulseInterval = max(50, time.Duration(5*min(n, 25))) * time.Millisecond
 	d.fixedSize = true
 	for range n {
