--- a/poison/table.go
+++ b/poison/table.go
@@ -16,7 +16,7 @@
 	// it is refused. One crash is weak evidence, as all of the sixteen or more requests on
 	// a target see it. After two, a harmless request may still have been present by chance
 	// on a day with many crashes. After three, each of a request sent after the previous
-	// crash, no harmless request was affected.
+	// crash, no harmless request was seen to be affected.
 	CrashThreshold = 3
 	// initialVerdictDuration is the duration of the first verdict on a content: well over
 	// the time for which clients retry, and about what an operator needs to react. It
