--- a/poison/table_test.go
+++ b/poison/table_test.go
@@ -417,8 +417,8 @@
 	return out
 }
 
-// Guards against filling a small VM's link for seconds with reports when a dozen targets
-// crash at once, each with sixty requests of one entry.
+// Guards against reports that fill half of a small VM's link for seconds when a dozen
+// targets crash at once, each with sixty requests of one entry.
 func TestReportBandwidthIsBounded(t *testing.T) {
 	table, crasher := New(nil), caseOf("guilty")
 	for i := range 12 {
