--- a/poison/reports.go
+++ b/poison/reports.go
@@ -181,15 +181,15 @@
 			t.clearCrash(report.Case, e.Instance, now)
 		}
 	}
-	addCrash := t.countCrash
+	add := t.countCrash
 	if report.verdictLapsed() {
 		// The verdict has expired at the sender. Adding the crashes must not start a new
 		// verdict here, as no target has crashed since.
-		addCrash = func(c Case, inst fleet.Instance, o Origin, now time.Time) { t.addCrash(c, inst, o, now) }
+		add = func(c Case, inst fleet.Instance, o Origin, now time.Time) { t.addCrash(c, inst, o, now) }
 	}
 	for _, e := range report.Crashes {
 		if !e.Cleared {
-			addCrash(report.Case, e.Instance, origin, now)
+			add(report.Case, e.Instance, origin, now)
 		}
 	}
 	r := t.records[report.Content]
