--- a/health/health.go
+++ b/health/health.go
@@ -1,75 +1,74 @@
-// Package health keeps one entry's opinion of one target, from what its own
-// messages met: live, suspect or dead, and back by degrees. It is pure and
+// Package health tracks the health of one target as seen by one entry, from the results of
+// its own requests: live, suspect or dead, with a gradual recovery. It does no I/O and is
 // not safe for concurrent use.
 package health
 
 import "time"
 
-// State is an entry's opinion of a target.
+// State is the health of a target.
 type State string
 
-// The states of a target.
 const (
 	Live State = "live"
-	// Suspect targets are asked, but with a penalty.
+	// Suspect targets receive requests, but with a penalty.
 	Suspect State = "suspect"
-	// Dead targets get one probe at a time.
+	// Dead targets receive one probe request at a time.
 	Dead State = "dead"
 )
 
-// Constants of the opinion.
 const (
-	// deadAfter is how many failures in a row make a target dead.
-	deadAfter = 2
-	// firstPause and maxPause bound how long a dead target is left alone.
-	firstPause = 100 * time.Millisecond
-	maxPause   = 5 * time.Second
-	// maxPenalty is the cost of a target that has just failed; it halves
-	// every penaltyHalfLife, so that the target gets its work back by degrees.
+	// deadThreshold is the number of consecutive failures that make a target dead.
+	deadThreshold = 2
+	// minProbeInterval and maxProbeInterval bound the time between probes of a dead target.
+	minProbeInterval = 100 * time.Millisecond
+	maxProbeInterval = 5 * time.Second
+	// maxPenalty is the cost added to a target that has just failed. It halves every
+	// penaltyHalfLife, so that the target regains its load gradually.
 	maxPenalty      = 500 * time.Millisecond
 	penaltyHalfLife = time.Second
-	// forgotten is the penalty below which a target counts as live.
-	forgotten = 5 * time.Millisecond
+	// minPenalty is the penalty below which a target counts as live.
+	minPenalty = 5 * time.Millisecond
 )
 
-// Tracker is the opinion of one target.
+// Tracker tracks the health of one target. The zero value is live.
 type Tracker struct {
-	failures  int
-	pause     time.Duration
-	retryAt   time.Time
-	penalty   time.Duration
-	penaltyAt time.Time
+	failures      int
+	probeInterval time.Duration
+	nextProbeAt   time.Time
+	penalty       time.Duration
+	penaltyAt     time.Time
 }
 
-// RecordFailure counts one failure to reach the target or of the target itself.
+// RecordFailure records a failed request, whether the target could not be reached or failed
+// itself.
 func (t *Tracker) RecordFailure(now time.Time) {
 	t.failures++
 	t.penalty = maxPenalty
 	t.penaltyAt = now
-	if t.failures < deadAfter {
+	if t.failures < deadThreshold {
 		return
 	}
-	t.pause = min(max(2*t.pause, firstPause), maxPause)
-	t.retryAt = now.Add(t.pause)
+	t.probeInterval = min(max(2*t.probeInterval, minProbeInterval), maxProbeInterval)
+	t.nextProbeAt = now.Add(t.probeInterval)
 }
 
-// RecordConnectFailure counts a failure to connect: a target that answers nothing needs
-// no second sign.
+// RecordConnectFailure records a failure to connect. It makes the target dead at once, as a
+// target that does not respond at all needs no second failure.
 func (t *Tracker) RecordConnectFailure(now time.Time) {
-	t.failures = max(t.failures, deadAfter-1)
+	t.failures = max(t.failures, deadThreshold-1)
 	t.RecordFailure(now)
 }
 
-// RecordSuccess counts one good answer.
+// RecordSuccess records a successful request.
 func (t *Tracker) RecordSuccess() {
 	t.failures = 0
-	t.pause = 0
+	t.probeInterval = 0
 }
 
-// State returns the opinion now.
+// State returns the health of the target at the given time.
 func (t *Tracker) State(now time.Time) State {
 	switch {
-	case t.failures >= deadAfter:
+	case t.failures >= deadThreshold:
 		return Dead
 	case t.Penalty(now) > 0:
 		return Suspect
@@ -77,26 +76,26 @@
 	return Live
 }
 
-// AllowRequest reports whether the target may be asked now. A dead one may once its
-// pause is over, and the asking starts the next pause, so that one probe goes
-// at a time.
+// AllowRequest reports whether a request may be sent to the target now. A dead target is
+// allowed one request when its probe interval has passed; the call starts the next
+// interval, so that only one probe is sent at a time.
 func (t *Tracker) AllowRequest(now time.Time) bool {
-	if t.failures < deadAfter {
+	if t.failures < deadThreshold {
 		return true
 	}
-	if now.Before(t.retryAt) {
+	if now.Before(t.nextProbeAt) {
 		return false
 	}
-	t.retryAt = now.Add(t.pause)
+	t.nextProbeAt = now.Add(t.probeInterval)
 	return true
 }
 
-// Penalty returns the cost that the doubt adds now.
+// Penalty returns the cost that recent failures add now.
 func (t *Tracker) Penalty(now time.Time) time.Duration {
 	p := t.penalty
 	for since := now.Sub(t.penaltyAt); p > 0 && since >= penaltyHalfLife; since -= penaltyHalfLife {
 		p /= 2
-		if p < forgotten {
+		if p < minPenalty {
 			return 0
 		}
 	}
--- a/quota/account.go
+++ b/quota/account.go
@@ -8,91 +8,99 @@
 	"acaciakeel/policy"
 )
 
-// account is one customer's use at one process. Amounts are in the limit's unit.
+// account is one customer's, or one target's, usage as known at this process. Amounts are
+// in the limit's unit.
 type account struct {
 	name  string
 	limit Limit
-	// at is when the level was brought forward, slicedAt when the slice and the demand.
-	at, slicedAt time.Time
-	// level is what the limit has left over all processes, as far as is known here;
-	// below 0 where more was let in.
+	// refilledAt is when the level was last refilled, sliceUpdatedAt when the slice and the
+	// demand were last updated.
+	refilledAt, sliceUpdatedAt time.Time
+	// level is the remaining amount of the limit over all processes, as far as is known
+	// here; negative if more than the limit was admitted.
 	level float64
-	// debtMost bounds how far below 0 it goes: beyond the margin, more would only keep the
-	// customer out for longer, also where what was told was wrong.
-	debtMost float64
-	// adopted is set once the level is not that of a process that has just started.
-	adopted bool
-	// slice is what this process may let in by itself where the level tells little.
+	// maxDebt bounds how far the level goes below 0. Debt beyond the margin would only
+	// block the customer for longer, also if a peer reported a wrong total.
+	maxDebt float64
+	// levelKnown is set once the level is more than the initial guess of a starting
+	// process.
+	levelKnown bool
+	// slice is what this process may admit on its own when the shared level is used up or
+	// uncertain.
 	slice float64
-	// own is what this process let in since its start.
-	own float64
-	// demand is what was asked lately here, let in or not, fading over demandTime.
+	// admittedHere is the amount admitted by this process since its start.
+	admittedHere float64
+	// demand is the amount requested here lately, admitted or not. It decays over
+	// demandDecay.
 	demand float64
-	// promised is what was refused here and told to come back, less what came in since.
-	promised float64
-	// others is what each other process, and each other group, told last.
-	others map[*sender]*use
-	// group is what this process's group let in, as far as is known here.
-	group float64
+	// pendingRetries is the amount refused here with a retry time, less what the limit has
+	// granted since.
+	pendingRetries float64
+	// peerUsage is the last report of each other process and of each other group.
+	peerUsage map[*sender]*peerUsage
+	// admittedInGroup is the amount admitted by this process's group, as far as is known
+	// here.
+	admittedInGroup float64
 
-	told     toldUse
-	toldFar  map[int]*toldUse
-	over     bool
-	lastOver time.Time
-	// admitted and refused count requests.
+	reported         reportState
+	reportedToGroups map[int]*reportState
+	overLimit        bool
+	lastRefusedAt    time.Time
+	// admitted and refused are numbers of requests.
 	admitted, refused int64
 }
 
-// use is what another process told of a customer.
-type use struct {
-	total  float64
-	demand float64
-	at     time.Time
-	// apart is set where the sender was silent since: what it let in meanwhile was its own
-	// part of the limit.
-	apart bool
+// peerUsage is the usage of an account as another process or group reported it.
+type peerUsage struct {
+	admitted   float64
+	demand     float64
+	reportedAt time.Time
+	// partitioned is set if the sender was silent since its last report. What it admitted
+	// meanwhile came out of its own share of the limit.
+	partitioned bool
 }
 
-// asked returns how much the other process is taken to be asked for a second now.
-func (u *use) asked(now time.Time) float64 {
-	return u.demand * fading(now.Sub(u.at)) / demandTime.Seconds()
+// demandRate returns the estimated current demand at the other process, per second.
+func (u *peerUsage) demandRate(now time.Time) float64 {
+	return u.demand * decay(now.Sub(u.reportedAt)) / demandDecay.Seconds()
 }
 
-// fading returns what is left of a demand after a while.
-func fading(passed time.Duration) float64 {
-	return math.Exp(-passed.Seconds() / demandTime.Seconds())
+// decay returns the factor by which a demand has decayed after the elapsed time.
+func decay(elapsed time.Duration) float64 {
+	return math.Exp(-elapsed.Seconds() / demandDecay.Seconds())
 }
 
-// Figures of accounts.
+// Parameters of accounts.
 const (
-	// demandTime is over how long demand fades: long enough to hold several requests of
-	// a customer, short enough to follow one that turns hot.
-	demandTime = 500 * time.Millisecond
-	// sliceTime bounds what a process saves up of its slice.
-	sliceTime = 250 * time.Millisecond
-	// marginHeld is the part of the margin that covers what is not heard yet; the rest
-	// is kept for what can't be foreseen, such as cuts that nobody has noticed.
-	marginHeld = 0.5
-	// minority is the part of the processes below which those that hear each other let
-	// nothing in that is not saved up.
-	minority = 0.5
+	// demandDecay is the time constant of the demand: long enough to cover several requests
+	// of a customer, short enough to follow a customer whose demand rises.
+	demandDecay = 500 * time.Millisecond
+	// maxSliceAge bounds the slice: a process saves up at most its share of the limit over
+	// this time.
+	maxSliceAge = 250 * time.Millisecond
+	// unreportedMarginShare is the part of the margin that covers usage not reported yet.
+	// The rest is kept for the unforeseen, such as network partitions not detected yet.
+	unreportedMarginShare = 0.5
+	// quorumShare is the fraction of the processes below which those that reach each other
+	// admit only what is saved up.
+	quorumShare = 0.5
 )
 
-func (b *Limiter) newAccount(name string, l Limit, now time.Time) *account {
-	a := &account{name: name, limit: l, at: now, slicedAt: now, debtMost: l.Burst + b.bounds.margin(l), others: map[*sender]*use{}}
-	// Others may have spent all: were all killed at once, each would begin with a full
-	// burst of its own.
-	if !b.settling(now) {
-		a.level, a.adopted = l.Burst, true
+func (lim *Limiter) newAccount(name string, l Limit, now time.Time) *account {
+	a := &account{name: name, limit: l, refilledAt: now, sliceUpdatedAt: now, maxDebt: l.Burst + lim.tolerance.margin(l), peerUsage: map[*sender]*peerUsage{}}
+	// A starting process assumes that the burst is spent. If all processes were killed at
+	// once, each would otherwise grant a full burst.
+	if !lim.warmingUp(now) {
+		a.level, a.levelKnown = l.Burst, true
 	}
-	if b.stagger > 0 {
-		a.level, a.slice = 0, -b.random.Float64()*b.stagger
+	if lim.staggerCost > 0 {
+		a.level, a.slice = 0, -lim.random.Float64()*lim.staggerCost
 	}
 	return a
 }
 
-// change puts another limit into force.
-func (b *Limiter) change(a *account, l Limit) {
+// changeLimit replaces the limit of an account and scales the level in proportion.
+func (lim *Limiter) changeLimit(a *account, l Limit) {
 	if l == a.limit {
 		return
 	}
@@ -101,199 +109,204 @@
 		a.level = 0
 	}
 	a.level = min(a.level, l.Burst)
-	a.debtMost = l.Burst + b.bounds.margin(l)
+	a.maxDebt = l.Burst + lim.tolerance.margin(l)
 	a.slice = min(a.slice, 0)
-	a.promised = 0
+	a.pendingRetries = 0
 	a.limit = l
 }
 
-// refresh brings an account forward to now; the caller holds mu.
-func (b *Limiter) refresh(a *account, now time.Time) {
-	part := b.part(now)
-	a.refill(part, now)
-	passed := now.Sub(a.slicedAt).Seconds()
-	if passed <= 0 {
+// refresh updates an account to now. The caller holds mu.
+func (lim *Limiter) refresh(a *account, now time.Time) {
+	fraction := lim.limitFraction(now)
+	a.refill(fraction, now)
+	elapsed := now.Sub(a.sliceUpdatedAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	a.demand *= fading(now.Sub(a.slicedAt))
-	a.slicedAt = now
-	grows := a.limit.Rate * part * b.share(a, now)
-	if b.off[policy.SharedUsage] {
-		a.slice = min(grows*a.limit.Burst/a.limit.Rate, a.slice+grows*passed)
+	a.demand *= decay(now.Sub(a.sliceUpdatedAt))
+	a.sliceUpdatedAt = now
+	growthRate := a.limit.Rate * fraction * lim.demandShare(a, now)
+	if lim.disabled[policy.SharedUsage] {
+		a.slice = min(growthRate*a.limit.Burst/a.limit.Rate, a.slice+growthRate*elapsed)
 	} else {
-		pace := a.pace(b.held(a))
-		if b.stagger > 0 && a.level > 0 {
-			// What is left of the burst is dealt out by the slices as well: the level alone
-			// opens to all at once, and not where much is asked.
-			pace += a.level / a.limit.Burst
+		paceFactor := a.paceFactor(lim.unreportedMargin(a))
+		if lim.staggerCost > 0 && a.level > 0 {
+			// The remaining burst is also handed out through the slices. The level alone
+			// would admit requests at all processes at once, regardless of where the demand
+			// is.
+			paceFactor += a.level / a.limit.Burst
 		}
-		a.slice = min(grows*sliceTime.Seconds(), a.slice+grows*pace*passed)
+		a.slice = min(growthRate*maxSliceAge.Seconds(), a.slice+growthRate*paceFactor*elapsed)
 	}
-	a.promised = max(0, a.promised-grows*passed)
+	a.pendingRetries = max(0, a.pendingRetries-growthRate*elapsed)
 }
 
-// refill adds to the level what came with time, for the part of the limit that is left
-// to the processes that are heard.
-func (a *account) refill(part float64, now time.Time) {
-	passed := now.Sub(a.at).Seconds()
-	if passed <= 0 {
+// refill adds the amount accrued since the last refill to the level, for the fraction of
+// the limit that belongs to the reachable processes.
+func (a *account) refill(fraction float64, now time.Time) {
+	elapsed := now.Sub(a.refilledAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	a.at = now
-	a.level = min(a.limit.Burst*part, a.level+a.limit.Rate*part*passed)
+	a.refilledAt = now
+	a.level = min(a.limit.Burst*fraction, a.level+a.limit.Rate*fraction*elapsed)
 }
 
-// held returns how far over its limit a customer may be known to be.
-func (b *Limiter) held(a *account) float64 {
-	return marginHeld * b.bounds.margin(a.limit)
+// unreportedMargin returns how far over its limit an account may go because of usage that
+// is not reported yet.
+func (lim *Limiter) unreportedMargin(a *account) float64 {
+	return unreportedMarginShare * lim.tolerance.margin(a.limit)
 }
 
-// pace returns how fast the slice grows: less where more than the limit was let in, so
-// that it is made up for.
-func (a *account) pace(held float64) float64 {
-	if held <= 0 {
-		held = 1
+// paceFactor returns the relative growth of the slice. It falls below 1 when more than the
+// limit was admitted, so that the excess is made up for.
+func (a *account) paceFactor(margin float64) float64 {
+	if margin <= 0 {
+		margin = 1
 	}
-	return min(1, max(0, 1+a.level/held))
+	return min(1, max(0, 1+a.level/margin))
 }
 
-// share returns this process's part of what is asked of a customer's limit, among the
-// processes that it hears.
-func (b *Limiter) share(a *account, now time.Time) float64 {
-	heard := float64(b.heardCount(now))
-	if b.off[policy.DemandShares] {
-		return 1 / heard
+// demandShare returns this process's part of the demand for an account at all reachable
+// processes.
+func (lim *Limiter) demandShare(a *account, now time.Time) float64 {
+	processes := float64(lim.reachableProcesses(now))
+	if lim.disabled[policy.DemandShares] {
+		return 1 / processes
 	}
-	all := a.askedOfAll(now)
+	all := a.totalDemandRate(now)
 	if all <= 0 {
-		return 1 / heard
+		return 1 / processes
 	}
-	return a.asked() / all
+	return a.demandRate() / all
 }
 
-// askedOfAll returns how much all processes that are heard are asked for a second.
-func (a *account) askedOfAll(now time.Time) float64 {
-	all := a.asked()
-	for s, u := range a.others {
-		if s.fresh(now) {
-			all += u.asked(now)
+// totalDemandRate returns the demand at all reachable processes, per second.
+func (a *account) totalDemandRate(now time.Time) float64 {
+	all := a.demandRate()
+	for s, u := range a.peerUsage {
+		if s.reachable(now) {
+			all += u.demandRate(now)
 		}
 	}
 	return all
 }
 
-// asked returns how much this process is asked for a second.
-func (a *account) asked() float64 { return a.demand / demandTime.Seconds() }
+// demandRate returns the demand at this process, per second.
+func (a *account) demandRate() float64 { return a.demand / demandDecay.Seconds() }
 
-// groupDemand returns what the processes of this one's group are asked together.
+// groupDemand returns the demand at all processes of this process's group.
 func (a *account) groupDemand(now time.Time) float64 {
 	sum := a.demand
-	for s, u := range a.others {
-		if !s.group && s.fresh(now) {
-			sum += u.demand * fading(now.Sub(u.at))
+	for s, u := range a.peerUsage {
+		if !s.group && s.reachable(now) {
+			sum += u.demand * decay(now.Sub(u.reportedAt))
 		}
 	}
 	return sum
 }
 
-// room is what an account has for one more request.
-type room struct {
-	open bool
-	// lacks is how much is missing where it is not open, and grows how fast it comes.
-	lacks, grows float64
+// capacity tells whether an account has room for one more request.
+type capacity struct {
+	available bool
+	// shortfall is the amount missing if the request is not admitted, growthRate the rate
+	// at which the account gains it.
+	shortfall, growthRate float64
 }
 
-// room returns whether one more request may be let in; the caller holds mu and has
+// capacity returns whether one more request may be admitted. The caller holds mu and has
 // refreshed the account.
-func (b *Limiter) room(a *account, cost float64, now time.Time) room {
-	part := b.part(now)
-	grows := a.limit.Rate * part
-	if b.off[policy.SharedUsage] {
-		grows *= b.share(a, now)
-		return room{open: a.slice > 0, lacks: -a.slice, grows: grows}
+func (lim *Limiter) capacity(a *account, cost float64, now time.Time) capacity {
+	fraction := lim.limitFraction(now)
+	growthRate := a.limit.Rate * fraction
+	if lim.disabled[policy.SharedUsage] {
+		growthRate *= lim.demandShare(a, now)
+		return capacity{available: a.slice > 0, shortfall: -a.slice, growthRate: growthRate}
 	}
-	if part < minority {
-		// Each of many that hear nobody could go into debt by a whole request.
-		return room{open: a.level >= cost, lacks: cost - a.level, grows: grows}
+	if fraction < quorumShare {
+		// With many isolated processes, each could otherwise overdraw by a whole request.
+		return capacity{available: a.level >= cost, shortfall: cost - a.level, growthRate: growthRate}
 	}
-	held := b.held(a)
-	left := a.level - max(0, b.unheard(a, now)-held)
-	if left > 0 {
-		return room{open: true}
+	margin := lim.unreportedMargin(a)
+	remaining := a.level - max(0, lim.estimateUnreported(a, now)-margin)
+	if remaining > 0 {
+		return capacity{available: true}
 	}
-	if b.off[policy.Pacing] {
-		return room{lacks: -left, grows: grows}
+	if lim.disabled[policy.Pacing] {
+		return capacity{shortfall: -remaining, growthRate: growthRate}
 	}
-	lacks := max(-left, -a.slice)
-	if b.stagger > 0 {
-		// What the others may have let in unheard keeps the level closed, not the slice.
-		lacks = max(-held-a.level, -a.slice)
+	shortfall := max(-remaining, -a.slice)
+	if lim.staggerCost > 0 {
+		// Unreported usage of peers limits the level, not the slice, so it does not count
+		// here.
+		shortfall = max(-margin-a.level, -a.slice)
 	}
-	return room{open: a.slice > 0 && a.level > -held, lacks: lacks, grows: grows * b.share(a, now)}
+	return capacity{available: a.slice > 0 && a.level > -margin, shortfall: shortfall, growthRate: growthRate * lim.demandShare(a, now)}
 }
 
-// unheard returns what the others may have let in since they were heard last. One that
-// is late may be cut off, and what it is asked may have grown with what is asked here.
-func (b *Limiter) unheard(a *account, now time.Time) float64 {
-	sum, own := 0.0, a.asked()
-	for _, s := range b.senders {
-		if !s.fresh(now) {
+// estimateUnreported returns the amount that the other processes may have admitted since
+// their last reports. A late sender may be partitioned, and its demand may have grown with
+// the demand here.
+func (lim *Limiter) estimateUnreported(a *account, now time.Time) float64 {
+	sum, own := 0.0, a.demandRate()
+	for _, s := range lim.senders {
+		if !s.reachable(now) {
 			continue
 		}
-		asked, age := 0.0, s.age(now)
-		if u := a.others[s]; u != nil {
-			asked = u.asked(now)
+		demand, age := 0.0, s.age(now)
+		if u := a.peerUsage[s]; u != nil {
+			demand = u.demandRate(now)
 		}
-		sum += asked*age.Seconds() + max(0, float64(s.count)*own-asked)*max(0, age-s.patience/4).Seconds()
+		sum += demand*age.Seconds() + max(0, float64(s.processes)*own-demand)*max(0, age-s.timeout/4).Seconds()
 	}
 	return sum
 }
 
-func (a *account) offer(cost float64) {
+func (a *account) addDemand(cost float64) {
 	a.demand += cost
 }
 
-// spend counts what was let in, here or elsewhere, against the level.
-func (a *account) spend(amount float64) {
-	a.level = max(-a.debtMost, min(a.limit.Burst, a.level-amount))
+// debit subtracts an amount admitted here or elsewhere from the level.
+func (a *account) debit(amount float64) {
+	a.level = max(-a.maxDebt, min(a.limit.Burst, a.level-amount))
 }
 
-// take lets a request in; a cost below 0 gives back.
-func (a *account) take(cost float64) {
-	a.spend(cost)
+// admit counts an admitted request; a negative cost is a refund.
+func (a *account) admit(cost float64) {
+	a.debit(cost)
 	a.slice -= cost
-	a.own += cost
-	a.group += cost
+	a.admittedHere += cost
+	a.admittedInGroup += cost
 	if cost > 0 {
 		a.admitted++
 	}
 }
 
-// Bounds of the time after which a refused client is asked back.
+// Bounds of the retry time for refused requests.
 const (
-	leastWait = 200 * time.Millisecond
-	mostWait  = 30 * time.Second
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
 )
 
-// refuse counts a request that is not let in, and returns when to come back: when the
-// limit has room for it behind those that were told so before.
-func (a *account) refuse(cost float64, r room) time.Duration {
+// refuse counts a refused request and returns when the client may retry: once the limit has
+// room behind earlier refused requests. The random part spreads the retries.
+func (a *account) refuse(cost float64, c capacity) time.Duration {
 	a.refused++
-	a.told.refused = true
-	wait := a.wait(r)
-	a.promise(cost)
-	return wait + leastWait + rand.N(leastWait)
+	a.reported.refusedSince = true
+	wait := a.retryAfter(c)
+	a.addPendingRetry(cost)
+	return wait + minRetryAfter + rand.N(minRetryAfter)
 }
 
-// wait returns when the limit has room behind those that were told to come back.
-func (a *account) wait(r room) time.Duration {
-	if r.grows <= 0 {
-		return mostWait
+// retryAfter returns when the limit has room behind the pending retries.
+func (a *account) retryAfter(c capacity) time.Duration {
+	if c.growthRate <= 0 {
+		return maxRetryAfter
 	}
-	return min(mostWait, time.Duration((max(0, r.lacks)+a.promised)/r.grows*float64(time.Second)))
+	return min(maxRetryAfter, time.Duration((max(0, c.shortfall)+a.pendingRetries)/c.growthRate*float64(time.Second)))
 }
 
-// promise counts a request that was told to come back.
-func (a *account) promise(cost float64) {
-	a.promised = min(a.promised+cost, a.limit.Rate*mostWait.Seconds())
+// addPendingRetry counts a refused request that is expected to be retried.
+func (a *account) addPendingRetry(cost float64) {
+	a.pendingRetries = min(a.pendingRetries+cost, a.limit.Rate*maxRetryAfter.Seconds())
 }
--- a/quota/groups.go
+++ b/quota/groups.go
@@ -2,65 +2,66 @@
 
 import "time"
 
-// GroupUpdate returns what this process's group has to tell another one.
-func (b *Limiter) GroupUpdate(to int, now time.Time) UsageUpdate {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.meetGroup(to, now)
-	out := UsageUpdate{Uptime: now.Sub(b.start), Processes: 1}
-	for _, s := range b.peers {
-		if s.fresh(now) {
+// GroupUpdate returns the usage of this process's group, to be sent to another group.
+func (lim *Limiter) GroupUpdate(group int, now time.Time) UsageUpdate {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	lim.startGroupReport(group, now)
+	out := UsageUpdate{Uptime: now.Sub(lim.startedAt), Processes: 1}
+	for _, s := range lim.peers {
+		if s.reachable(now) {
 			out.Processes++
 		}
 	}
-	for id, a := range b.accounts {
-		t := a.toldTo(to)
-		before := t.total
-		if len(out.Reports) < wordsMost && b.due(a, t, a.group, now) {
-			b.refresh(a, now)
-			out.Reports = append(out.Reports, UsageReport{Customer: id, Total: a.group, Increase: a.group - before, Demand: a.groupDemand(now), Level: a.level})
+	for id, a := range lim.accounts {
+		r := a.groupReport(group)
+		reported := r.total
+		if len(out.Reports) < maxReports && lim.takeDue(a, r, a.admittedInGroup, now) {
+			lim.refresh(a, now)
+			out.Reports = append(out.Reports, UsageReport{Customer: id, Total: a.admittedInGroup, Increase: a.admittedInGroup - reported, Demand: a.groupDemand(now), Level: a.level})
 		}
 	}
 	return out
 }
 
-// meetGroup notes that another group is told. One that is told anew gets what is let in
-// from now on: what was before, its members know from others, or when they were in a group
-// with this one.
-func (b *Limiter) meetGroup(to int, now time.Time) {
-	if now.Sub(b.toldFar[to]) > groupPatience {
-		for _, a := range b.accounts {
-			a.toldTo(to).total = a.group
+// startGroupReport records that another group is sent a report. A group without a report
+// for groupTimeout is sent only usage from now on: its members know the earlier usage from
+// other processes, or from having been in this group.
+func (lim *Limiter) startGroupReport(group int, now time.Time) {
+	if now.Sub(lim.groupReportedAt[group]) > groupTimeout {
+		for _, a := range lim.accounts {
+			a.groupReport(group).total = a.admittedInGroup
 		}
 	}
-	b.toldFar[to] = now
+	lim.groupReportedAt[group] = now
 }
 
-// ApplyGroupUpdate takes what a member of another group tells of it. Another member has
-// counted from another moment on: what it tells first only sets where it begins.
-func (b *Limiter) ApplyGroupUpdate(group int, n UsageUpdate, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.far[group]
-	if s == nil || s.name != n.Sender {
-		b.drop(s)
-		s = &sender{name: n.Sender, group: true, patience: groupPatience}
-		b.far[group] = s
-		b.senders = append(b.senders, s)
+// ApplyGroupUpdate applies an update from another group. Different members of the group
+// have counted since different times, so the first totals of a new sender only set its
+// baseline.
+func (lim *Limiter) ApplyGroupUpdate(group int, u UsageUpdate, now time.Time) {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	s := lim.groupSenders[group]
+	if s == nil || s.name != u.Sender {
+		lim.dropSender(s)
+		s = &sender{name: u.Sender, group: true, timeout: groupTimeout}
+		lim.groupSenders[group] = s
+		lim.senders = append(lim.senders, s)
 	}
-	s.count = n.Processes
-	b.hear(s, n, now)
+	s.processes = u.Processes
+	lim.applyUpdate(s, u, now)
 }
 
-// toldTo returns what was told to another group.
-func (a *account) toldTo(group int) *toldUse {
-	if a.toldFar == nil {
-		a.toldFar = map[int]*toldUse{}
+// groupReport returns the state of the reports to another group.
+func (a *account) groupReport(group int) *reportState {
+	if a.reportedToGroups == nil {
+		a.reportedToGroups = map[int]*reportState{}
 	}
-	t := a.toldFar[group]
-	if t == nil {
-		t = &toldUse{}
-		a.toldFar[group] = t
+	r := a.reportedToGroups[group]
+	if r == nil {
+		r = &reportState{}
+		a.reportedToGroups[group] = r
 	}
-	return t
+	return r
 }
