--- /dev/null
+++ b/router/log_fields.go
@@ -0,0 +1,61 @@
+package router
+
+import (
+	"strconv"
+
+	"github.com/sirupsen/logrus"
+)
+
+func (s *session) addLogFields(fields logrus.Fields) {
+	fields["service"] = s.in.service.Name
+	fields["sends"] = s.attempts
+	fields["target"] = s.lastChoice.Target.ID
+	if s.in.Model != "" {
+		fields["weights"] = s.lastChoice.WeightsVersion
+		fields["cached"] = s.lastChoice.CachedTokens
+		fields["shared"] = s.lastChoice.SharedTokens
+		if levels := s.lastChoice.Chain.Levels; len(levels) > 0 {
+			// Requests with the same value share their prompt up to here.
+			fields["part"] = strconv.FormatUint(levels[len(levels)-1].Hash, 16)
+		}
+		fields["fetched"] = s.lastChoice.FetchTokens
+		fields["source"] = s.lastChoice.Source
+		fields["input"] = s.in.InputTokens
+		fields["output"] = s.in.MaxOutputTokens
+		fields["expected_ms"] = s.lastChoice.FirstToken.Milliseconds()
+		fields["wait_ms"] = s.lastChoice.Wait.Milliseconds()
+	}
+	if s.status > 0 {
+		fields["status"] = s.status
+	}
+	if s.attempts > 0 {
+		fields["sent_ms"] = s.sentAt.Sub(s.in.Received).Milliseconds()
+	}
+	if s.staleness.atSend > 0 || s.staleness.atFirstEvent > 0 {
+		fields["newest"] = s.router.fleet.DesiredVersion(s.in.Model)
+		fields["replaced_sent_ms"] = s.staleness.atSend.Milliseconds()
+		fields["replaced_first_ms"] = s.staleness.atFirstEvent.Milliseconds()
+	}
+	if s.shuttingDownFor > 0 {
+		fields["leaving_ms"] = s.shuttingDownFor.Milliseconds()
+	}
+	if s.backoffLeft > 0 {
+		fields["rest_left_ms"] = s.backoffLeft.Milliseconds()
+	}
+	if limit := s.router.fleet.Limit(s.lastChoice.Target.Instance()); limit.Declared {
+		fields["limit"] = limit.Rate
+	}
+	if !s.firstEventAt.IsZero() {
+		fields["first_ms"] = s.firstEventAt.Sub(s.in.Received).Milliseconds()
+		fields["pause_ms"] = s.longestPause.Milliseconds()
+	}
+}
+
+func (s *session) logRetry(out attemptResult) {
+	fields := logrus.Fields{"event": "retry", "request": s.in.ID, "reason": out.reason, "target": s.lastChoice.Target.ID, "sends": s.attempts, "weights": s.lastChoice.WeightsVersion}
+	message := "the target failed the request"
+	if out.refused != nil {
+		message = out.refused.Message
+	}
+	s.router.log.WithFields(fields).Info(message)
+}
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -10,28 +10,28 @@
 
 // Metrics are the router's counters.
 type Metrics struct {
-	refusals  *prometheus.CounterVec
-	retries   *prometheus.CounterVec
-	exhausted prometheus.Counter
-	latency   *prometheus.HistogramVec
-	replaced  prometheus.Histogram
-	unread    *prometheus.CounterVec
-	leaving   prometheus.Counter
-	rests     prometheus.Counter
+	refusals       *prometheus.CounterVec
+	retries        *prometheus.CounterVec
+	exhausted      prometheus.Counter
+	latency        *prometheus.HistogramVec
+	startStaleness prometheus.Histogram
+	malformed      *prometheus.CounterVec
+	shutdowns      prometheus.Counter
+	backoffs       prometheus.Counter
 }
 
 // NewMetrics registers the router's counters.
 func NewMetrics(r *prometheus.Registry) *Metrics {
 	exhausted := telemetry.NewCounter(r, "keel_router_retries_exhausted_total", "Retries that the budget did not allow.")
 	return &Metrics{
-		refusals:  telemetry.NewCounter(r, "keel_router_refusals_total", "Requests refused or failed, by kind.", "kind"),
-		retries:   telemetry.NewCounter(r, "keel_router_retries_total", "Further sends, by reason.", "reason"),
-		exhausted: exhausted.WithLabelValues(),
-		latency:   telemetry.NewLatency(r, "keel_router_request_seconds", "Time from a request's arrival to its end, by route.", "route"),
-		leaving:   telemetry.NewCounter(r, "keel_router_targets_leaving_total", "Targets that first said to this entry in an answer that they leave.").WithLabelValues(),
-		rests:     telemetry.NewCounter(r, "keel_router_rests_total", "Answers by which a target asked this entry to leave it alone for a while.").WithLabelValues(),
-		unread:    telemetry.NewCounter(r, "keel_router_notices_unread_total", "Words of targets on themselves that could not be read, by field.", "field"),
-		replaced:  telemetry.NewAges(r, "keel_router_replaced_weights_seconds", "For how long newer weights had been wanted when runs began on older ones."),
+		refusals:       telemetry.NewCounter(r, "keel_router_refusals_total", "Requests refused or failed, by kind.", "kind"),
+		retries:        telemetry.NewCounter(r, "keel_router_retries_total", "Further sends, by reason.", "reason"),
+		exhausted:      exhausted.WithLabelValues(),
+		latency:        telemetry.NewLatency(r, "keel_router_request_seconds", "Time from a request's arrival to its end, by route.", "route"),
+		shutdowns:      telemetry.NewCounter(r, "keel_router_targets_leaving_total", "Targets that first said to this entry in an answer that they leave.").WithLabelValues(),
+		backoffs:       telemetry.NewCounter(r, "keel_router_rests_total", "Answers by which a target asked this entry to leave it alone for a while.").WithLabelValues(),
+		malformed:      telemetry.NewCounter(r, "keel_router_notices_unread_total", "Words of targets on themselves that could not be read, by field.", "field"),
+		startStaleness: telemetry.NewAges(r, "keel_router_replaced_weights_seconds", "For how long newer weights had been wanted when runs began on older ones."),
 	}
 }
 
--- a/router/notice.go
+++ b/router/notice.go
@@ -8,11 +8,11 @@
 	"acaciakeel/fleet"
 )
 
-// notice takes what a target says of itself.
-func (s *session) notice(choice fleet.Choice, n fleet.Notice) {
-	s.noticeUnread(choice, n)
-	s.noticeLeaving(choice, n)
-	s.noticeRest(choice, n)
+// recordNotice takes what a target says of itself.
+func (s *session) recordNotice(choice fleet.Choice, n fleet.Notice) {
+	s.recordMalformed(choice, n)
+	s.recordShutdown(choice, n)
+	s.recordBackoff(choice, n)
 	c, changed := s.router.fleet.Receive(choice.Target.Instance(), n, s.sentAt, time.Now())
 	if !changed {
 		return
@@ -27,36 +27,36 @@
 	}).Info(message)
 }
 
-// noticeLeaving takes a target's word that it leaves.
-func (s *session) noticeLeaving(choice fleet.Choice, n fleet.Notice) {
-	life := choice.Target.Instance()
-	if n.ShuttingDown && s.router.fleet.RecordShutdown(life, time.Now()) {
-		s.router.metrics.leaving.Inc()
-		s.router.log.WithFields(logrus.Fields{"event": "target_leaves", "request": s.in.ID, "target": life.ID, "born": life.Born, "listed_draining": choice.Target.Draining}).
+// recordShutdown takes a target's word that it leaves.
+func (s *session) recordShutdown(choice fleet.Choice, n fleet.Notice) {
+	instance := choice.Target.Instance()
+	if n.ShuttingDown && s.router.fleet.RecordShutdown(instance, time.Now()) {
+		s.router.metrics.shutdowns.Inc()
+		s.router.log.WithFields(logrus.Fields{"event": "target_leaves", "request": s.in.ID, "target": instance.ID, "born": instance.Born, "listed_draining": choice.Target.Draining}).
 			Info("the target says that it leaves")
 	}
 }
 
-// noticeRest takes for how long a target wants nothing more of this entry.
-func (s *session) noticeRest(choice fleet.Choice, n fleet.Notice) {
+// recordBackoff takes for how long a target wants nothing more of this entry.
+func (s *session) recordBackoff(choice fleet.Choice, n fleet.Notice) {
 	if n.Backoff <= 0 {
 		return
 	}
-	s.router.metrics.rests.Inc()
-	life := choice.Target.Instance()
-	if s.router.fleet.RecordBackoff(life, n.Backoff, time.Now()) {
-		s.router.log.WithFields(logrus.Fields{"event": "target_rests", "request": s.in.ID, "target": life.ID, "born": life.Born, "rest_ms": n.Backoff.Milliseconds()}).
+	s.router.metrics.backoffs.Inc()
+	instance := choice.Target.Instance()
+	if s.router.fleet.RecordBackoff(instance, n.Backoff, time.Now()) {
+		s.router.log.WithFields(logrus.Fields{"event": "target_rests", "request": s.in.ID, "target": instance.ID, "born": instance.Born, "rest_ms": n.Backoff.Milliseconds()}).
 			Info("the target wants nothing more of this entry for a while")
 	}
 }
 
-// noticeUnread counts words that can't be read, and logs the first of each life.
-func (s *session) noticeUnread(choice fleet.Choice, n fleet.Notice) {
+// recordMalformed counts words that can't be read, and logs the first of each life.
+func (s *session) recordMalformed(choice fleet.Choice, n fleet.Notice) {
 	for _, field := range n.Malformed {
-		s.router.metrics.unread.WithLabelValues(field).Inc()
+		s.router.metrics.malformed.WithLabelValues(field).Inc()
 	}
-	if life := choice.Target.Instance(); len(n.Malformed) > 0 && s.router.fleet.RecordMalformed(life) {
-		s.router.log.WithFields(logrus.Fields{"event": "notice_unread", "request": s.in.ID, "target": life.ID, "born": life.Born, "fields": n.Malformed}).
+	if instance := choice.Target.Instance(); len(n.Malformed) > 0 && s.router.fleet.RecordMalformed(instance) {
+		s.router.log.WithFields(logrus.Fields{"event": "notice_unread", "request": s.in.ID, "target": instance.ID, "born": instance.Born, "fields": n.Malformed}).
 			Warn("a target's word on itself can't be read; what it said before holds")
 	}
 }
--- a/router/overload_test.go
+++ b/router/overload_test.go
@@ -9,7 +9,7 @@
 // tags of 6 ms were refused by the hundred for a wait of a quarter of a second,
 // though a runner reads seventy of them in the time of one caption. What takes
 // little waits for longer; what takes much is refused by its wait, not its size.
-func TestWhatTakesLittleToReadMayWaitLonger(t *testing.T) {
+func TestLightRequestsMayWaitLonger(t *testing.T) {
 	for _, test := range []struct {
 		name               string
 		objective, reading time.Duration
@@ -22,7 +22,7 @@
 		{"one with nothing to read", time.Second, 0, 500 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := waitLimit(test.objective, test.reading); got != test.want {
+			if got := maxWait(test.objective, test.reading); got != test.want {
 				t.Errorf("may wait %v, want %v", got, test.want)
 			}
 		})
--- a/router/session.go
+++ b/router/session.go
@@ -17,66 +17,66 @@
 // session is one request on its way through one or more targets.
 type session struct {
 	router *Router
-	in     *admitted
-	reply  ResponseWriter
+	in     *admittedRequest
+	writer ResponseWriter
 	// charge is what the request counts against its customer's limit.
 	charge *quota.Charge
-	// sends counts sends, ran those that may have run.
-	sends int
-	ran   int
-	tried []fleet.Instance
-	begun bool
+	// attempts counts attempts, ran those that may have run.
+	attempts      int
+	executions    int
+	tried         []fleet.Instance
+	headerWritten bool
 	// status is what the client was answered with; 0 before.
 	status int
-	// lastEvent is the id of the last event passed on.
-	lastEvent int64
-	hasEvent  bool
-	last      fleet.Choice
-	ticket    *fleet.ActiveRequest
-	// waits takes the last send back if it waits for too long to begin.
-	waits   *recall
-	firstAt time.Time
-	// lastAt is when the last event was passed on, pause the longest between two.
-	lastAt time.Time
-	pause  time.Duration
+	// lastEventID is the id of the last event passed on.
+	lastEventID    int64
+	hasLastEventID bool
+	lastChoice     fleet.Choice
+	active         *fleet.ActiveRequest
+	// guard takes the last send back if it guard for too long to begin.
+	guard        *startGuard
+	firstEventAt time.Time
+	// lastEventAt is when the last event was passed on, pause the longest between two.
+	lastEventAt  time.Time
+	longestPause time.Duration
 	// sentAt is when the last send began, leaving for how long its target had said by
 	// then that it leaves, and rest for how long it wanted nothing yet.
-	sentAt  time.Time
-	leaving time.Duration
-	rest    time.Duration
-	// replaced is for how long newer weights had been wanted than those of the last
+	sentAt          time.Time
+	shuttingDownFor time.Duration
+	backoffLeft     time.Duration
+	// staleness is for how long newer weights had been wanted than those of the last
 	// send: when it was sent, and when its first event came.
-	replaced struct{ sent, first time.Duration }
-	// here counts the request among those of its content, judged is how that stood before
+	staleness struct{ atSend, atFirstEvent time.Duration }
+	// tracked counts the request among those of its content, judged is how that stood before
 	// the last send, and asked is closed once it is known whether the target that broke
 	// the last answer off has ended; nil where none did.
-	here   *poison.ActiveRequest
-	judged poison.Decision
-	asked  <-chan struct{}
+	tracked  *poison.ActiveRequest
+	decision poison.Decision
+	probed   <-chan struct{}
 }
 
 func (s *session) run(ctx context.Context) *refusal.Error {
-	s.router.budgets.request(s.in.service.Name, time.Now())
-	s.here = s.router.poison.Track(s.in.content)
-	defer s.here.Finish()
+	s.router.budgets.recordRequest(s.in.service.Name, time.Now())
+	s.tracked = s.router.poison.Track(s.in.content)
+	defer s.tracked.Finish()
 	for {
-		if refused := s.judge(time.Now()); refused != nil {
-			return s.giveUp(result{refused: refused})
+		if refused := s.checkPoison(time.Now()); refused != nil {
+			return s.giveUp(attemptResult{refused: refused})
 		}
 		choice, ok := s.choose()
 		if !ok {
-			return s.giveUp(result{refused: s.noTarget()})
+			return s.giveUp(attemptResult{refused: s.refuseNoTarget()})
 		}
-		if refused := s.overloaded(choice); refused != nil {
+		if refused := s.refuseOverload(choice); refused != nil {
 			return refused
 		}
-		out := s.attempt(ctx, choice)
-		if out.refused == nil && out.answer == nil {
+		out := s.send(ctx, choice)
+		if out.refused == nil && out.response == nil {
 			return nil
 		}
-		if ctx.Err() == nil && out.again && s.sends < retry.MaxAttempts && s.mayRetry(out.reason) {
+		if ctx.Err() == nil && out.retryable && s.attempts < retry.MaxAttempts && s.takeRetry(out.reason) {
 			s.logRetry(out)
-			s.awaitEnding(ctx)
+			s.awaitProbe(ctx)
 			continue
 		}
 		return s.giveUp(out)
@@ -85,21 +85,21 @@
 
 // settleCharge gives the customer back what it was charged for sends that did not run.
 func (s *session) settleCharge() {
-	s.charge.SetExecutions(s.ran)
+	s.charge.SetExecutions(s.executions)
 }
 
 // giveUp passes on the target's own failure, or returns the refusal.
-func (s *session) giveUp(out result) *refusal.Error {
-	if s.begun {
-		s.reply.Abort()
+func (s *session) giveUp(out attemptResult) *refusal.Error {
+	if s.headerWritten {
+		s.writer.Abort()
 		broken := refusal.New(refusal.Interrupted, "resume after the last event, where the route allows it", "the stream broke off: %s", out.refused.Message)
 		broken.Outcome = refusal.Ran
 		return broken
 	}
-	if out.answer != nil {
-		return s.pass(out.answer)
+	if out.response != nil {
+		return s.writeWhole(out.response)
 	}
-	if s.ran > 0 && out.refused.Outcome == refusal.NotRun {
+	if s.executions > 0 && out.refused.Outcome == refusal.NotRun {
 		// The last target did not run it, but an earlier one may have.
 		unknown := *out.refused
 		unknown.Outcome = refusal.Unknown
@@ -119,75 +119,75 @@
 		Service:       in.service.Name,
 		Tried:         s.tried,
 		MaxStaleness:  s.router.bounds.MaxStaleness,
-		CostWeights:   cacheWeights,
-		Isolate:       s.judged.Status == poison.Suspect,
-		AlwaysIsolate: s.judged.Crashes > 1,
-		Avoid:         s.judged.Avoid,
+		CostWeights:   costWeights,
+		Isolate:       s.decision.Status == poison.Suspect,
+		AlwaysIsolate: s.decision.Crashes > 1,
+		Avoid:         s.decision.Avoid,
 	}
 	if in.service.Engine != nil && in.Model != "" {
 		q.Model = in.Model
 		q.TokenBytes = in.service.Engine.TokenBytes
 		q.Capacity = in.service.Engine.CapacityTokens
 		q.InputTokens, q.MaxOutputTokens, q.Objective = in.InputTokens, in.MaxOutputTokens, in.route.Objective
-		q.Chain = func(weights int64) prefix.Chain { return in.chain(in.salt(weights)) }
+		q.Chain = func(weights int64) prefix.Chain { return in.chain(in.cacheSalt(weights)) }
 	}
 	return q
 }
 
-// attempt sends the request to one target and passes its answer on.
-func (s *session) attempt(ctx context.Context, choice fleet.Choice) result {
-	attempt, cancel := s.attemptContext(ctx)
+// send sends the request to one target and passes its answer on.
+func (s *session) send(ctx context.Context, choice fleet.Choice) attemptResult {
+	attemptCtx, cancel := s.attemptContext(ctx)
 	defer cancel()
-	s.sends++
-	s.charge.SetExecutions(s.ran + 1)
-	s.last = choice
+	s.attempts++
+	s.charge.SetExecutions(s.executions + 1)
+	s.lastChoice = choice
 	s.tried = append(s.tried, choice.Target.Instance())
 	f := s.router.fleet
 	s.sentAt = time.Now()
-	s.leaving = f.ShuttingDownFor(choice.Target.Instance(), s.sentAt)
-	s.rest = f.RemainingBackoff(choice.Target.Instance(), s.sentAt)
-	s.replaced.sent, s.replaced.first = f.StaleFor(s.in.Model, choice.WeightsVersion, s.sentAt), 0
-	s.ticket = f.Begin(choice.Target.Instance(), s.stay(choice), s.sentAt)
-	defer s.ticket.End()
-	s.here.SentTo(choice.Target.Instance())
-	defer s.here.LeftTarget()
-	s.waits = s.recall(choice, cancel)
-	defer s.waits.end()
-	answer, err := s.router.sender.Send(attempt, s.newSend(choice))
+	s.shuttingDownFor = f.ShuttingDownFor(choice.Target.Instance(), s.sentAt)
+	s.backoffLeft = f.RemainingBackoff(choice.Target.Instance(), s.sentAt)
+	s.staleness.atSend, s.staleness.atFirstEvent = f.StaleFor(s.in.Model, choice.WeightsVersion, s.sentAt), 0
+	s.active = f.Begin(choice.Target.Instance(), s.requestLoad(choice), s.sentAt)
+	defer s.active.End()
+	s.tracked.SentTo(choice.Target.Instance())
+	defer s.tracked.LeftTarget()
+	s.guard = s.guardStart(choice, cancel)
+	defer s.guard.stop()
+	response, err := s.router.sender.Send(attemptCtx, s.newAttempt(choice))
 	if err != nil {
-		return s.unanswered(ctx, choice, err)
+		return s.handleSendError(ctx, choice, err)
 	}
-	defer answer.Body.Close()
-	s.learn(choice, answer)
-	if out, ok := s.notRun(choice, answer); ok {
+	defer response.Body.Close()
+	s.recordResponse(choice, response)
+	if out, ok := s.handleNotRun(choice, response); ok {
 		return out
 	}
-	s.ran++
-	if answer.MatchesRequest {
+	s.executions++
+	if response.MatchesRequest {
 		f.RecordAccepted(choice.Target.Instance(), s.sentAt)
 	}
-	if !answer.MatchesRequest || answer.Status < http.StatusOK || (answer.Status < 300 && (!answer.Sealed || answer.Encoded)) {
+	if !response.MatchesRequest || response.Status < http.StatusOK || (response.Status < 300 && (!response.Sealed || response.Encoded)) {
 		f.RecordFailure(choice.Target.Instance(), time.Now())
-		return s.lost(retry.Interrupted, "the target %s sent bytes that are not its answer to this request", choice.Target.ID)
+		return s.outcomeUnknown(retry.Interrupted, "the target %s sent bytes that are not its answer to this request", choice.Target.ID)
 	}
-	if s.begun && answer.Status >= 300 {
+	if s.headerWritten && response.Status >= 300 {
 		// The client has the head and the first events of another answer.
-		return s.lost(retry.Continued, "target %s answered %d in place of the rest of a stream", choice.Target.ID, answer.Status)
+		return s.outcomeUnknown(retry.Continued, "target %s answered %d in place of the rest of a stream", choice.Target.ID, response.Status)
 	}
-	if s.in.route.Kind == catalog.Stream && answer.Status < 300 {
-		return s.stream(choice, answer)
+	if s.in.route.Kind == catalog.Stream && response.Status < 300 {
+		return s.forwardStream(choice, response)
 	}
-	s.waits.end()
-	return s.whole(choice, answer)
+	s.guard.stop()
+	return s.forwardWhole(choice, response)
 }
 
 // Figures of the patience with one target of a request that may be repeated.
 const (
-	// patienceFactor is how many objectives a target is given: by then it is
+	// attemptTimeoutFactor is how many objectives a target is given: by then it is
 	// more likely to hang than to be busy.
-	patienceFactor = 3
-	// minPatience is the least patience, some runs of a plain service.
-	minPatience = 200 * time.Millisecond
+	attemptTimeoutFactor = 3
+	// minAttemptTimeout is the least patience, some runs of a plain service.
+	minAttemptTimeout = 200 * time.Millisecond
 )
 
 // attemptContext bounds one attempt where another target may still be asked. A
@@ -195,57 +195,57 @@
 // the time that it takes shows it.
 func (s *session) attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	r := s.in.route
-	if r.Kind != catalog.Idempotent || s.ran+1 >= r.Attempts || r.Objective <= 0 {
+	if r.Kind != catalog.Idempotent || s.executions+1 >= r.Attempts || r.Objective <= 0 {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, max(patienceFactor*r.Objective, minPatience))
+	return context.WithTimeout(ctx, max(attemptTimeoutFactor*r.Objective, minAttemptTimeout))
 }
 
-func (s *session) stay(choice fleet.Choice) fleet.RequestLoad {
+func (s *session) requestLoad(choice fleet.Choice) fleet.RequestLoad {
 	return fleet.RequestLoad{
 		UncachedTokens:  max(0, s.in.InputTokens-choice.CachedTokens-choice.FetchTokens),
 		Transfer:        choice.Transfer,
 		PromptTokens:    s.in.InputTokens,
 		MaxOutputTokens: s.in.MaxOutputTokens,
 		Chain:           choice.Chain,
-		Capacity:        s.capacity(),
+		Capacity:        s.cacheCapacity(),
 		Long:            choice.Long,
 		HeldTokens:      fleet.EstimateHeldTokens(s.in.InputTokens, choice.CachedTokens, s.in.MaxOutputTokens),
 		// The send that begins now counts as one that may have run.
-		Resumable: s.in.route.Repeatable() && s.ran+1 < s.in.route.Attempts && s.sends < retry.MaxAttempts,
+		Resumable: s.in.route.Repeatable() && s.executions+1 < s.in.route.Attempts && s.attempts < retry.MaxAttempts,
 	}
 }
 
-// capacity is what a runner holds at most; what it has dropped of that it tells.
-func (s *session) capacity() int {
+// cacheCapacity is what a runner holds at most; what it has dropped of that it tells.
+func (s *session) cacheCapacity() int {
 	if s.in.service.Engine == nil {
 		return 0
 	}
 	return s.in.service.Engine.CapacityTokens
 }
 
-func (s *session) newSend(choice fleet.Choice) *Attempt {
+func (s *session) newAttempt(choice fleet.Choice) *Attempt {
 	in := s.in
-	send := &Attempt{Request: in.Request, Target: choice.Target, Deadline: in.limit, Customer: in.customerName(), Priority: -1, WeightsVersion: choice.WeightsVersion, LastEventID: s.after()}
+	attempt := &Attempt{Request: in.Request, Target: choice.Target, Deadline: in.deadline, Customer: in.customerName(), Priority: -1, WeightsVersion: choice.WeightsVersion, LastEventID: s.resumeAfter()}
 	if in.Model != "" {
-		send.Priority = in.priority()
-		send.CacheSalt = in.salt(choice.WeightsVersion)
-		send.FetchFrom = choice.Source
-		send.SaveTo = choice.SaveTo
+		attempt.Priority = in.priority()
+		attempt.CacheSalt = in.cacheSalt(choice.WeightsVersion)
+		attempt.FetchFrom = choice.Source
+		attempt.SaveTo = choice.SaveTo
 	}
-	return send
+	return attempt
 }
 
-// learn takes what an answer says of its target beside the answer itself.
-func (s *session) learn(choice fleet.Choice, a *Response) {
+// recordResponse takes what an answer says of its target beside the answer itself.
+func (s *session) recordResponse(choice fleet.Choice, resp *Response) {
 	f := s.router.fleet
-	if a.HasLoad {
-		f.RecordLoad(choice.Target.Instance(), a.Load, time.Now())
+	if resp.HasLoad {
+		f.RecordLoad(choice.Target.Instance(), resp.Load, time.Now())
 	}
-	if a.MatchesRequest {
-		s.notice(choice, a.Notice)
+	if resp.MatchesRequest {
+		s.recordNotice(choice, resp.Notice)
 	}
-	if s.in.Model != "" && a.MatchesRequest {
-		f.RecordWeights(choice.Target.Instance(), s.in.Model, a.WeightsVersion, time.Now())
+	if s.in.Model != "" && resp.MatchesRequest {
+		f.RecordWeights(choice.Target.Instance(), s.in.Model, resp.WeightsVersion, time.Now())
 	}
 }
--- a/router/stream.go
+++ b/router/stream.go
@@ -12,104 +12,104 @@
 	"acaciakeel/retry"
 )
 
-// maxEvent bounds one event of a stream, in bytes; past it a target is taken
+// maxEventBytes bounds one event of a stream, in bytes; past it a target is taken
 // to send something that is no stream of events.
-const maxEvent = 1 << 20
+const maxEventBytes = 1 << 20
 
 var errEventTooLong = errors.New("an event is over a megabyte long")
 
-// after returns the event after which the next target goes on.
-func (s *session) after() string {
-	if s.hasEvent {
-		return strconv.FormatInt(s.lastEvent, 10)
+// resumeAfter returns the event resumeAfter which the next target goes on.
+func (s *session) resumeAfter() string {
+	if s.hasLastEventID {
+		return strconv.FormatInt(s.lastEventID, 10)
 	}
 	return s.in.LastEventID
 }
 
-// stream passes a stream of events on, each as it is complete: a target may
+// forwardStream passes a forwardStream of events on, each as it is complete: a target may
 // stop in the middle of an event, and half of one can't be taken back.
-func (s *session) stream(choice fleet.Choice, a *Response) result {
-	in := bufio.NewReader(a.Body)
+func (s *session) forwardStream(choice fleet.Choice, resp *Response) attemptResult {
+	in := bufio.NewReader(resp.Body)
 	for {
 		event, err := readEvent(in)
 		if err == io.EOF {
-			return s.ended(choice, a, event)
+			return s.finishStream(choice, resp, event)
 		}
-		if err != nil && s.waits.took() {
-			return s.takenBack(choice)
+		if err != nil && s.guard.hasExpired() {
+			return s.handleWithdrawn(choice)
 		}
 		if err != nil {
 			s.router.fleet.RecordFailure(choice.Target.Instance(), time.Now())
-			s.brokeOff(choice, err)
+			s.recordBrokenResponse(choice, err)
 			reason := retry.Interrupted
-			if s.begun {
+			if s.headerWritten {
 				reason = retry.Continued
 			}
-			return s.lost(reason, "the stream of target %s broke off: %v", choice.Target.ID, err)
+			return s.outcomeUnknown(reason, "the stream of target %s broke off: %v", choice.Target.ID, err)
 		}
-		s.waits.end()
-		s.arrived(time.Now())
-		if err := s.forward(a, event); err != nil {
-			return result{refused: clientLeft(err)}
+		s.guard.stop()
+		s.recordEvent(time.Now())
+		if err := s.forwardEvent(resp, event); err != nil {
+			return attemptResult{refused: clientGone(err)}
 		}
 	}
 }
 
-// arrived notes when an event came.
-func (s *session) arrived(now time.Time) {
-	if s.firstAt.IsZero() {
-		s.firstAt = now
-		s.began(now)
+// recordEvent notes when an event came.
+func (s *session) recordEvent(now time.Time) {
+	if s.firstEventAt.IsZero() {
+		s.firstEventAt = now
+		s.recordStart(now)
 	} else {
-		s.pause = max(s.pause, now.Sub(s.lastAt))
+		s.longestPause = max(s.longestPause, now.Sub(s.lastEventAt))
 	}
-	s.lastAt = now
-	s.ticket.FirstEvent(now)
+	s.lastEventAt = now
+	s.active.FirstEvent(now)
 }
 
-// began notes on how old weights a run began.
-func (s *session) began(now time.Time) {
-	s.replaced.first = s.router.fleet.StaleFor(s.in.Model, s.last.WeightsVersion, now)
-	if s.replaced.first > 0 {
-		s.router.metrics.replaced.Observe(s.replaced.first.Seconds())
+// recordStart notes on how old weights a run recordStart.
+func (s *session) recordStart(now time.Time) {
+	s.staleness.atFirstEvent = s.router.fleet.StaleFor(s.in.Model, s.lastChoice.WeightsVersion, now)
+	if s.staleness.atFirstEvent > 0 {
+		s.router.metrics.startStaleness.Observe(s.staleness.atFirstEvent.Seconds())
 	}
 }
 
-// ended passes the end of a stream on. What follows the last whole event is
+// finishStream passes the end of a stream on. What follows the last whole event is
 // the target's own and goes along.
-func (s *session) ended(choice fleet.Choice, a *Response, rest []byte) result {
+func (s *session) finishStream(choice fleet.Choice, resp *Response, rest []byte) attemptResult {
 	s.router.fleet.RecordSuccess(choice.Target.Instance())
-	s.ticket.Complete(time.Now())
+	s.active.Complete(time.Now())
 	s.router.poison.RecordSuccess(s.in.content, time.Now())
-	if !s.begun || len(rest) > 0 {
-		if err := s.write(a, rest); err != nil {
-			return result{refused: clientLeft(err)}
+	if !s.headerWritten || len(rest) > 0 {
+		if err := s.writeBody(resp, rest); err != nil {
+			return attemptResult{refused: clientGone(err)}
 		}
 	}
-	return done
+	return succeeded
 }
 
-// forward passes an event on, unless the client has it from an earlier target.
-func (s *session) forward(a *Response, event []byte) error {
+// forwardEvent passes an event on, unless the client has it from an earlier target.
+func (s *session) forwardEvent(resp *Response, event []byte) error {
 	id, ok := eventID(event)
-	if ok && s.hasEvent && id <= s.lastEvent {
+	if ok && s.hasLastEventID && id <= s.lastEventID {
 		return nil
 	}
 	if ok {
-		s.lastEvent, s.hasEvent = id, true
+		s.lastEventID, s.hasLastEventID = id, true
 	}
-	return s.write(a, event)
+	return s.writeBody(resp, event)
 }
 
-func (s *session) write(a *Response, p []byte) error {
-	if !s.begun {
-		s.begun, s.status = true, a.Status
-		a.ContentLength = -1
-		if err := s.reply.WriteHeader(a); err != nil {
+func (s *session) writeBody(resp *Response, p []byte) error {
+	if !s.headerWritten {
+		s.headerWritten, s.status = true, resp.Status
+		resp.ContentLength = -1
+		if err := s.writer.WriteHeader(resp); err != nil {
 			return err
 		}
 	}
-	return s.reply.Write(p)
+	return s.writer.Write(p)
 }
 
 // readEvent reads up to and with the empty line that ends an event. At the end
@@ -120,7 +120,7 @@
 		line, err := in.ReadSlice('\n')
 		event = append(event, line...)
 		switch {
-		case err == bufio.ErrBufferFull && len(event) <= maxEvent:
+		case err == bufio.ErrBufferFull && len(event) <= maxEventBytes:
 			continue
 		case err == bufio.ErrBufferFull:
 			return nil, errEventTooLong
