--- a/router/crash_detector.go
+++ b/router/crash_detector.go
@@ -13,10 +13,10 @@
 	"acaciakeel/poison"
 )
 
-// crashDetector finds out, once a target broke an answer off, whether the target has
-// ended. A broken connection alone does not tell: targets that fail part of their
-// requests, spoilt answers and orders that end streams look the same, and the list
-// loses a target seconds after its end.
+// crashDetector probes targets that broke off a response to find out whether they have
+// crashed. A broken connection alone does not prove it: targets that fail some of their
+// requests, corrupted responses and load orders that end streams look the same, and the list
+// of targets drops a crashed one only seconds later.
 type crashDetector struct {
 	sender Sender
 	fleet  *fleet.Fleet
@@ -24,8 +24,8 @@
 	log    logrus.FieldLogger
 
 	mu sync.Mutex
-	// probes are the questions under way, by life: all requests that a target was
-	// serving break off at the same moment.
+	// probes holds the probes in progress by instance. All requests that a crashed target was
+	// serving break off at the same moment and share one probe.
 	probes map[fleet.Instance]chan struct{}
 }
 
@@ -33,64 +33,63 @@
 	return &crashDetector{sender: s, fleet: f, table: t, log: log, probes: map[fleet.Instance]chan struct{}{}}
 }
 
-// Figures of the questions.
 const (
-	// probeTimeout bounds one question: an answer takes a round trip, milliseconds.
+	// probeTimeout limits one probe, which normally takes one network round trip (milliseconds).
 	probeTimeout = 300 * time.Millisecond
-	// reprobeDelay is after how long a target that took a connection is asked once more:
-	// one that is ending may close its connections before its listener.
+	// reprobeDelay is the time after which a target that accepted a connection is probed once
+	// more: a process that is ending may close its connections before its listener.
 	reprobeDelay = 100 * time.Millisecond
 )
 
-// probe asks whether a target has ended, once for all requests that probe at the same
-// time. What it returns is closed once the first answer is there.
-func (e *crashDetector) probe(target fleet.Target) <-chan struct{} {
+// probe starts a probe of a target, or joins the one in progress. The returned channel is
+// closed when the first result is known.
+func (d *crashDetector) probe(target fleet.Target) <-chan struct{} {
 	instance := target.Instance()
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if done := e.probes[instance]; done != nil {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if done := d.probes[instance]; done != nil {
 		return done
 	}
 	done := make(chan struct{})
-	e.probes[instance] = done
-	go e.runProbe(target, done)
+	d.probes[instance] = done
+	go d.runProbe(target, done)
 	return done
 }
 
-func (e *crashDetector) runProbe(target fleet.Target, done chan<- struct{}) {
-	result := e.probeOnce(target)
-	e.record(target, result)
+func (d *crashDetector) runProbe(target fleet.Target, done chan<- struct{}) {
+	result := d.probeOnce(target)
+	d.record(target, result)
 	close(done)
 	if result == Listening {
 		time.Sleep(reprobeDelay)
-		result = e.probeOnce(target)
-		e.record(target, result)
+		result = d.probeOnce(target)
+		d.record(target, result)
 	}
-	e.mu.Lock()
-	delete(e.probes, target.Instance())
-	e.mu.Unlock()
-	e.log.WithFields(logrus.Fields{"event": "target_asked", "target": target.ID, "born": target.Born, "address": target.Address, "presence": result}).Info("it broke an answer off")
+	d.mu.Lock()
+	delete(d.probes, target.Instance())
+	d.mu.Unlock()
+	d.log.WithFields(logrus.Fields{"event": "target_asked", "target": target.ID, "born": target.Born, "address": target.Address, "presence": result}).Info("probed a target that broke off a response")
 }
 
-// record takes what was found of a target. Of one that has ended nobody else has to find
-// that out by a request.
-func (e *crashDetector) record(target fleet.Target, result ProbeResult) {
+// record records a crash if the target no longer listens, so that no other request has to
+// find out by failing.
+func (d *crashDetector) record(target fleet.Target, result ProbeResult) {
 	if result != NotListening {
 		return
 	}
 	now := time.Now()
-	e.fleet.RecordUnreachable(target.Instance(), now)
-	e.table.RecordCrash(target.Instance(), now)
+	d.fleet.RecordUnreachable(target.Instance(), now)
+	d.table.RecordCrash(target.Instance(), now)
 }
 
-func (e *crashDetector) probeOnce(target fleet.Target) ProbeResult {
+func (d *crashDetector) probeOnce(target fleet.Target) ProbeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	return e.sender.Probe(ctx, target)
+	return d.sender.Probe(ctx, target)
 }
 
-// causedByPeer reports whether an answer was ended by its target or the way there, and not
-// by this process's own patience or its client's.
+// causedByPeer reports whether the target or the network ended the response, rather than a
+// timeout of this process or its client.
 func causedByPeer(err error) bool {
 	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
 		return false
@@ -99,9 +98,9 @@
 	return !errors.As(err, &netErr) || !netErr.Timeout()
 }
 
-// recordBrokenResponse notes that a request that was sent to a target has no whole answer, and asks
-// whether the target has ended where that cut the answer off. A request whose client
-// left, or whose time was over, just before may have ended the target all the same.
+// recordBrokenResponse records that a request got no complete response, even if the client
+// disconnected or the deadline passed: the request may have crashed the target all the same.
+// If the target or the network broke the response off, it also starts a probe.
 func (s *session) recordBrokenResponse(choice fleet.Choice, err error) {
 	leaving := !s.router.fleet.Available(choice.Target.Instance())
 	if !leaving {
@@ -113,15 +112,15 @@
 	s.router.log.WithFields(logrus.Fields{
 		"event": "broke_off", "request": s.in.ID, "content": s.in.content.String(), "target": choice.Target.ID, "born": choice.Target.Born,
 		"leaving": leaving, "events": s.hasLastEventID,
-	}).Info("the target did not end its answer")
+	}).Info("response of the target broke off")
 	if !leaving {
-		// A planned end says nothing of what the target ran.
+		// After a planned shutdown, the end of the target says nothing about the request.
 		s.probed = s.router.detector.probe(choice.Target)
 	}
 }
 
-// awaitProbe waits until it is known whether the target that broke the last answer off
-// has ended: a further send that begins before is one more target at risk.
+// awaitProbe waits for the first result of the probe of the target that broke off the last
+// response. A retry before that would put another target at risk.
 func (s *session) awaitProbe(ctx context.Context) {
 	if s.probed == nil {
 		return
--- a/router/crash_detector_test.go
+++ b/router/crash_detector_test.go
@@ -18,21 +18,20 @@
 	"acaciakeel/poison"
 )
 
-// fakeProber is a sender that only says whether targets listen.
+// fakeProber is a Sender that only implements Probe, with the given results in order.
 type fakeProber struct {
 	Sender
 	results []ProbeResult
 	count   atomic.Int32
 }
 
-func (l *fakeProber) Probe(context.Context, fleet.Target) ProbeResult {
-	n := int(l.count.Add(1))
-	return l.results[min(n, len(l.results))-1]
+func (p *fakeProber) Probe(context.Context, fleet.Target) ProbeResult {
+	n := int(p.count.Add(1))
+	return p.results[min(n, len(p.results))-1]
 }
 
-// A target ends with sixteen requests of one entry. All of them want to know whether it
-// has ended: one question has to do, or a crash at full load costs as many connections
-// as there are requests.
+// Guards against one probe per request: a target that crashes under full load breaks off all its
+// requests at once (sixteen here), each of which would open a connection to it.
 func TestOneProbeForAllRequestsOfATarget(t *testing.T) {
 	prober := &fakeProber{results: []ProbeResult{Listening, NotListening}}
 	log, hook := logtest.NewNullLogger()
@@ -44,11 +43,11 @@
 	wg.Wait()
 	time.Sleep(2 * reprobeDelay)
 	if n := prober.count.Load(); n != 2 {
-		t.Errorf("the target was asked %d times", n)
+		t.Errorf("the target was probed %d times, want 2", n)
 	}
 	last := hook.LastEntry()
 	if last == nil || last.Data["presence"] != NotListening || last.Level != logrus.InfoLevel {
-		t.Errorf("the line is %v", last)
+		t.Errorf("last log entry is %v, want an info entry with the result of the second probe", last)
 	}
 }
 
--- a/router/log_fields.go
+++ b/router/log_fields.go
@@ -6,6 +6,7 @@
 	"github.com/sirupsen/logrus"
 )
 
+// addLogFields adds what is known of the attempts to the log line of a request.
 func (s *session) addLogFields(fields logrus.Fields) {
 	fields["service"] = s.in.service.Name
 	fields["sends"] = s.attempts
@@ -15,7 +16,7 @@
 		fields["cached"] = s.lastChoice.CachedTokens
 		fields["shared"] = s.lastChoice.SharedTokens
 		if levels := s.lastChoice.Chain.Levels; len(levels) > 0 {
-			// Requests with the same value share their prompt up to here.
+			// Requests with the same value share the prompt up to this boundary.
 			fields["part"] = strconv.FormatUint(levels[len(levels)-1].Hash, 16)
 		}
 		fields["fetched"] = s.lastChoice.FetchTokens
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -8,7 +8,7 @@
 	"acaciakeel/telemetry"
 )
 
-// Metrics are the router's counters.
+// Metrics are the metrics of a router.
 type Metrics struct {
 	refusals       *prometheus.CounterVec
 	retries        *prometheus.CounterVec
@@ -20,7 +20,7 @@
 	backoffs       prometheus.Counter
 }
 
-// NewMetrics registers the router's counters.
+// NewMetrics registers the metrics of a router with r.
 func NewMetrics(r *prometheus.Registry) *Metrics {
 	exhausted := telemetry.NewCounter(r, "keel_router_retries_exhausted_total", "Retries that the budget did not allow.")
 	return &Metrics{
@@ -35,11 +35,11 @@
 	}
 }
 
-// RetryBounds are the deployment's bounds on further sends, over all processes.
+// RetryBounds limits the retries of all processes together. The deployment sets them.
 type RetryBounds struct {
-	// Ratio is the share of a service's requests that may be sent again.
+	// Ratio is the share of the requests of a service that may be retried.
 	Ratio float64
-	// Extra is how many more in Window.
+	// Extra is the number of additional retries allowed per Window.
 	Extra  float64
 	Window time.Duration
 }
--- a/router/outcome.go
+++ b/router/outcome.go
@@ -12,34 +12,35 @@
 	"acaciakeel/retry"
 )
 
-// attemptResult is how one send ended.
+// attemptResult is the result of one attempt.
 type attemptResult struct {
 	refused *refusal.Error
 	reason  retry.Reason
-	// retryable is set where another target may do better.
+	// retryable is set if another target may succeed.
 	retryable bool
-	// response is a failure of the target's own, passed on if nothing better comes.
+	// response is an error response of the target, forwarded if no retry succeeds.
 	response *bufferedResponse
 }
 
-// bufferedResponse is a whole answer that waits to be passed on.
+// bufferedResponse is a complete response that has not been forwarded yet.
 type bufferedResponse struct {
 	response *Response
 	body     []byte
 }
 
-// succeeded is the result of an answer that was passed on whole.
+// succeeded is the result of an attempt whose response was forwarded completely.
 var succeeded = attemptResult{}
 
-// loadOrderBackoff is for how long a runner that refuses because of an order is left
-// alone: it ends its runs and loads for longer, and news of its weights ends the
-// pause.
+// loadOrderBackoff is the time for which a runner that refuses requests because of a load
+// order gets none. Finishing its runs and loading takes longer, but the backoff ends early
+// when the runner reports its new weights.
 const loadOrderBackoff = 600 * time.Millisecond
 
-// queueFullBackoff is for how long a full target is left alone: about one step of a batch.
+// queueFullBackoff is the time for which a target with a full queue gets no requests: about
+// one batch step.
 const queueFullBackoff = 30 * time.Millisecond
 
-// handleNotRun handles answers by which the target did not run the request.
+// handleNotRun handles responses of targets that did not run the request.
 func (s *session) handleNotRun(choice fleet.Choice, resp *Response) (attemptResult, bool) {
 	if !resp.NotRun {
 		return attemptResult{}, false
@@ -64,9 +65,9 @@
 	return attemptResult{refused: refused, reason: retry.TargetUnavailable, retryable: true}, true
 }
 
-// correctWeights corrects the belief in a runner's weights after it said that they
-// are others: where it does not say which, it has most likely just loaded the
-// newest.
+// correctWeights corrects the recorded weights of a runner that refused a request because its
+// weights differ. If the response names no version, the runner has most likely just loaded
+// the newest one.
 func (s *session) correctWeights(choice fleet.Choice, resp *Response) {
 	f := s.router.fleet
 	if resp.WeightsVersion == 0 {
@@ -76,7 +77,7 @@
 	f.RecordWeights(choice.Target.Instance(), s.in.Model, resp.WeightsVersion, time.Now())
 }
 
-// handleSendError handles a send without an answer.
+// handleSendError handles an attempt that got no response.
 func (s *session) handleSendError(ctx context.Context, choice fleet.Choice, err error) attemptResult {
 	var sendErr *SendError
 	sent := !errors.As(err, &sendErr) || sendErr.Sent
@@ -86,10 +87,11 @@
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled), s.guard.hasExpired():
-		// The client left, or the send was given up, which says nothing of the target.
+		// The client disconnected or the guard withdrew the attempt: neither says anything
+		// about the health of the target.
 	case sent, ctx.Err() != nil:
-		// A send that was cut by the end of the client's time leaves open whether
-		// the target can be reached.
+		// If the deadline of the client cut the attempt off, it is not known whether the
+		// target is reachable.
 		s.router.fleet.RecordFailure(choice.Target.Instance(), time.Now())
 	default:
 		s.router.fleet.RecordUnreachable(choice.Target.Instance(), time.Now())
@@ -107,23 +109,25 @@
 	return s.outcomeUnknown(retry.Interrupted, "target %s did not answer: %v", choice.Target.ID, err)
 }
 
-// outcomeUnknown is the result of a send that may have run and has no answer to pass on.
+// outcomeUnknown returns the result of an attempt that may have run but left no response to
+// forward.
 func (s *session) outcomeUnknown(reason retry.Reason, format string, args ...any) attemptResult {
 	refused := refusal.New(refusal.TargetFailed, "look the result up, or send again what may be repeated", format, args...)
 	refused.Outcome = refusal.Unknown
 	return attemptResult{refused: refused, reason: reason, retryable: s.repeatable()}
 }
 
-// repeatable reports whether another target may run the request too.
+// repeatable reports whether another target may run the request after an attempt that may
+// have run.
 func (s *session) repeatable() bool {
 	return s.in.route.Repeatable() && s.executions < s.in.route.Attempts
 }
 
-// maxResponseBytes bounds the body of an answer that is held whole, in bytes.
+// maxResponseBytes is the maximum body size of a response that is buffered.
 const maxResponseBytes = 8 << 20
 
-// forwardWhole reads a forwardWhole answer before it is passed on, so that one that breaks
-// off can still become a retry or a clear failure.
+// forwardWhole buffers the whole response before it forwards it, so that a response that
+// breaks off can still be retried or reported as a failure.
 func (s *session) forwardWhole(choice fleet.Choice, resp *Response) attemptResult {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil || len(body) > maxResponseBytes {
@@ -144,7 +148,7 @@
 	return succeeded
 }
 
-// writeWhole writes a whole answer.
+// writeWhole writes a buffered response to the client.
 func (s *session) writeWhole(b *bufferedResponse) *refusal.Error {
 	b.response.ContentLength = int64(len(b.body))
 	s.headerWritten, s.status = true, b.response.Status
--- a/router/overload.go
+++ b/router/overload.go
@@ -9,20 +9,20 @@
 	"acaciakeel/refusal"
 )
 
-// Figures of who is refused.
+// Maximum expected waits, in multiples of the objective of the route.
 const (
-	// maxWaitFactor is how many times its objective a request may be expected to
-	// wait before its prompt is read. Beyond it, it would only make those behind it
-	// late too, and its runners read prompts whose clients have left. What it takes
-	// to read itself does not count: it would shut the largest out.
+	// maxWaitFactor limits the expected wait before the prefill of a request begins. Beyond
+	// it, the request would only delay those queued behind it, and runners would prefill
+	// prompts of clients that have already gone. The prefill time of the request itself does
+	// not count: otherwise the largest requests would always be refused.
 	maxWaitFactor = 0.5
-	// maxLightWaitFactor is the same for those that take next to nothing to read.
+	// maxLightWaitFactor is the limit for requests with almost no prefill.
 	maxLightWaitFactor = 2
 )
 
-// maxWait returns how long a request may have to wait that takes its runner
-// reading to begin: one that takes little of its objective makes the others wait
-// for next to nothing, and late it is still worth more than the time it takes.
+// maxWait returns the maximum expected wait of a request with the given prefill time. A
+// prefill that takes a small part of the objective hardly delays other requests, and even a
+// late response to it is worth more than the runner time it takes.
 func maxWait(objective, prefill time.Duration) time.Duration {
 	share := maxWaitFactor
 	if prefill > 0 {
@@ -31,8 +31,8 @@
 	return time.Duration(share * float64(objective))
 }
 
-// refuseOverload refuses a request whose first token is expected too late, at once
-// and with the time until the backlog has shrunk.
+// refuseOverload refuses a request that is expected to wait too long, immediately and with
+// the time until the backlog has shrunk as Retry-After.
 func (s *session) refuseOverload(choice fleet.Choice) *refusal.Error {
 	prefill := choice.PrefillTime
 	if s.router.fleet.Disabled(policy.LightWaitAllowance) {
@@ -47,8 +47,8 @@
 		"reading is expected to begin in %v, over %v", choice.Wait.Round(time.Millisecond), limit).WithRetryAfter(excess + minRetryAfter + rand.N(minRetryAfter))
 }
 
-// minRetryAfter is the least time after which a refused client is asked back; twice
-// that spreads those refused together.
+// minRetryAfter is the minimum Retry-After of a refused client. A random delay of up to the
+// same length is added, so that clients refused together do not return together.
 const minRetryAfter = 200 * time.Millisecond
 
 func (s *session) refuseNoTarget() *refusal.Error {
@@ -65,7 +65,8 @@
 		"none of the targets of service %s can take the request", s.in.service.Name).WithRetryAfter(defaultRetryAfter)
 }
 
-// refuseThrottled refuses a request whose targets want no more for now.
+// refuseThrottled refuses a request whose targets are all at their rate limits or have asked
+// for a backoff.
 func (s *session) refuseThrottled(wait fleet.RetryDelay) *refusal.Error {
 	kind, why := refusal.TargetsLimited, "get as many requests as they take"
 	if wait.Backoff {
--- a/router/poison.go
+++ b/router/poison.go
@@ -8,16 +8,16 @@
 	"acaciakeel/refusal"
 )
 
-// poisonCase is the request as far as a verdict on its content needs it.
+// poisonCase returns what identifies the request in the poison table.
 func (in *admittedRequest) poisonCase() poison.Case {
 	return poison.Case{Content: in.content, Service: in.service.Name, Customer: in.customerName(), Request: in.ID}
 }
 
-// checkPoison refuses a request whose content is known to end targets, and has one that may
-// be go alone. A request that ends whoever runs it comes again under other ids and at
-// other processes: bounds that count by id or by process begin anew each time, and with
-// nineteen targets the requests of others on each of them were lost. The content stays
-// the same.
+// checkPoison refuses a request whose content is known to crash targets, and stores the
+// decision by which a suspect is isolated. A request that crashes its targets is repeated
+// under new IDs and at other processes, where limits per ID or per process start anew: it
+// crashed nineteen targets in turn, and the other requests on each were lost. Its content
+// fingerprint stays the same.
 func (s *session) checkPoison(now time.Time) *refusal.Error {
 	if s.router.fleet.Disabled(policy.PoisonDetection) {
 		return nil
@@ -26,7 +26,7 @@
 	s.decision = decision
 	disposition := "this one was not run"
 	if s.executions > 0 {
-		// An earlier send of this very request may have ended one of them.
+		// An earlier attempt of this request may have crashed one of the targets.
 		disposition = "this one is not sent on"
 	}
 	switch decision.Status {
--- a/router/request.go
+++ b/router/request.go
@@ -1,7 +1,7 @@
-// Package router is the path of a request: who sends it, where it may go, to
-// which target it is sent, what is done where that fails, and how its answer
-// goes back. It knows no protocol; doors decode requests into it and a Sender
-// takes them to targets.
+// Package router decides who may send a request, where it may go and to which target it is
+// sent, retries it where that fails, and forwards the response. It is independent of
+// protocols: front ends decode requests into a Request, and a Sender transmits attempts to
+// targets.
 package router
 
 import (
@@ -15,94 +15,99 @@
 	"acaciakeel/quota"
 )
 
-// Part is one part of a prompt, in order; requests share parts.
+// Part is one of the consecutive parts of a prompt. Requests can share parts.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Request is one request of a client.
+// Request is a decoded request of a client.
 type Request struct {
-	// ID is one attempt's of a client; each of its retries has another.
+	// ID identifies one attempt of a client; each retry by the client has a new ID.
 	ID     string
 	Method string
 	Host   string
-	// Path selects the route; URI is what the target gets, unchanged.
+	// Path selects the route. URI is sent to the target unchanged.
 	Path   string
 	URI    string
 	Header http.Header
 	Body   []byte
-	// Key is the customer's; empty where none was sent.
+	// Key authenticates the customer; empty if the client sent none.
 	Key string
-	// Received is when the request was read, Deadline when its client stops
-	// waiting; zero is never.
+	// Received is when the request was read. Deadline is when the client stops waiting; zero
+	// means never.
 	Received time.Time
 	Deadline time.Time
-	// Model is empty for requests that carry no prompt.
+	// Model is empty for requests without a prompt.
 	Model  string
 	Prefix []Part
-	// InputTokens is the number of prompt tokens, Output the most that may be generated.
+	// InputTokens is the number of prompt tokens, MaxOutputTokens the maximum number of
+	// tokens to generate.
 	InputTokens     int
 	MaxOutputTokens int
-	// Size is what the request counts against its customer's limit in tokens.
+	// Size is what the request counts against the limit of its customer.
 	Size quota.Size
 	// LastEventID is the event after which the client resumes a stream.
 	LastEventID string
 }
 
-// Attempt is one attempt at one target.
+// Attempt is one attempt to run a request at a target.
 type Attempt struct {
 	Request  *Request
 	Target   fleet.Target
 	Deadline time.Time
-	// Customer is the name that the target gets; empty on public routes.
+	// Customer is the customer name sent to the target; empty on public routes.
 	Customer string
-	// Priority is 0 (first) to 9, or below 0 for none.
+	// Priority is 0 (highest) to 9; a negative value sends none.
 	Priority int
-	// WeightsVersion is the version that the target must have; 0 is any.
+	// WeightsVersion is the version of the weights that the target must have; 0 accepts any.
 	WeightsVersion int64
-	// CacheSalt names whose cached parts, and of which weights, may be used.
+	// CacheSalt limits reuse of cached prompt parts to the same customers and weights.
 	CacheSalt string
-	// FetchFrom is the address of a target that holds more of the prompt.
+	// FetchFrom is the address of a target that has more of the prompt cached.
 	FetchFrom string
-	// SaveTo is the address of a store that is to get the prompt's parts.
+	// SaveTo is the address of a store to which the target saves the prompt parts.
 	SaveTo string
-	// LastEventID is the last event that the client has of a stream that goes on.
+	// LastEventID is the last event that the client has received, where a stream is
+	// continued.
 	LastEventID string
 }
 
-// Response is the head of a target's answer; Body must be closed.
+// Response is the header of the response of a target, and its body, which must be closed.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// ContentLength is the body's, or -1 where its end shows it.
+	// ContentLength is the length of the body, or -1 if it is not known in advance.
 	ContentLength int64
-	// NotRun says that the target did not run the request.
+	// NotRun is set if the target did not run the request.
 	NotRun bool
-	// Misdirected says that another target has the address, or that it has other weights.
+	// Misdirected is set if another target has the address now, or if the target has other
+	// weights than the attempt requires.
 	Misdirected bool
 	InstanceID  string
-	// MatchesRequest is set where the answer bears the request's id.
+	// MatchesRequest is set if the response carries the ID of the request, or refuses it
+	// without naming any ID.
 	MatchesRequest bool
-	// Sealed is set where the target vouches for its body, Encoded where the
-	// body isn't the target's own.
+	// Sealed is set if the response has the seal header, with which a target confirms that the
+	// body is its own. Encoded is set if a content encoding was applied, so that the body is
+	// not the one that the target produced.
 	Sealed  bool
 	Encoded bool
-	// CloseConnection says that the target closes the connection.
+	// CloseConnection is set if the target closes the connection after the response.
 	CloseConnection bool
-	// WeightsVersion is the version that answers; 0 where it does not say.
+	// WeightsVersion is the version of the weights that produced the response; 0 if unknown.
 	WeightsVersion int64
 	Load           fleet.Load
 	HasLoad        bool
 	Notice         fleet.Notice
 }
 
-// SendError is a send that got no answer.
+// SendError is the error of an attempt that got no response.
 type SendError struct {
 	Err error
-	// Sent is false where nothing of the request was written on a connection, so
-	// that the target can't have got any of it.
+	// Sent is false if no byte of the request was written to a connection, so that the
+	// target cannot have received any of it.
 	Sent bool
 }
 
@@ -112,40 +117,40 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// Sender takes requests to targets.
+// Sender transmits attempts to targets.
 type Sender interface {
-	// Send sends one attempt and returns once the head of its answer is there.
-	// Any error is a *SendError. The end of ctx takes the request back.
-	Send(ctx context.Context, s *Attempt) (*Response, error)
-	// Probe asks whether anybody takes connections at a target's address.
+	// Send sends an attempt and returns when the header of the response has been received.
+	// Every error is a *SendError. Canceling ctx withdraws the request.
+	Send(ctx context.Context, a *Attempt) (*Response, error)
+	// Probe checks whether a process accepts connections at the address of a target.
 	Probe(ctx context.Context, target fleet.Target) ProbeResult
 }
 
-// ProbeResult is what a target's address says of the process there.
+// ProbeResult is the result of probing the address of a target.
 type ProbeResult string
 
-// What an address says. Only NotListening proves something: a machine that is there says
-// that nobody listens, so that the process has ended.
+// The results of a probe. Only NotListening proves anything: the VM answered that no
+// process listens on the port, so the process has ended.
 const (
 	Listening    ProbeResult = "present"
 	NotListening ProbeResult = "absent"
 	Inconclusive ProbeResult = "unclear"
 )
 
-// ResponseWriter is where an answer goes. Its methods return an error once the client
-// is gone.
+// ResponseWriter writes a response to the client. Its methods return an error once the
+// client has disconnected.
 type ResponseWriter interface {
-	// WriteHeader writes the head of a target's answer.
-	WriteHeader(a *Response) error
-	// Write passes bytes of the body on at once.
+	// WriteHeader writes the header of the response of a target.
+	WriteHeader(resp *Response) error
+	// Write writes and flushes a part of the body.
 	Write(p []byte) error
-	// Abort ends an answer that has begun so that it can't look complete.
+	// Abort ends a partly written response so that it cannot be taken for a complete one.
 	Abort()
 }
 
-// chain returns the prompt's boundaries under a salt. The level by which
-// placement ranks targets is the deepest part that other requests share: the
-// last part belongs to the request itself.
+// chain returns the prefix boundaries of the prompt under a salt. Placement ranks targets by
+// the deepest part that other requests share. The last part is not shared: it belongs to
+// this request alone.
 func (r *Request) chain(salt string) prefix.Chain {
 	c := prefix.Chain{Tokens: r.InputTokens}
 	root := prefix.Root(salt)
--- a/router/retry_budgets.go
+++ b/router/retry_budgets.go
@@ -9,34 +9,35 @@
 	"acaciakeel/retry"
 )
 
-// Shares of the bounds that are used: the bounds hold for sliding windows over
-// all processes, which know nothing of each other's use.
+// Shares of the retry bounds that the budgets use. They leave a margin because the bounds
+// apply to sliding windows over all processes, which do not know each other's retries.
 const (
-	// ratioRateShare is the part of the ratio that comes with each request, burstShare
-	// the part that may be saved up for a moment at which many streams break off
-	// at once: then nearly all further sends of a window come together.
+	// ratioRateShare is the share of the ratio that each request adds to the budget.
+	// ratioBurstShare is the share that may accumulate for the case that many streams break
+	// off at once: then nearly all retries of a window come together.
 	ratioRateShare  = 0.4
 	ratioBurstShare = 0.45
-	// extraRateShare is the part of the extra that comes with time, savedShare the
-	// part that a quiet time saves up.
+	// extraRateShare is the share of the extra retries that is added over time.
+	// extraBurstShare is the share that may accumulate while there are few retries.
 	extraRateShare  = 0.25
 	extraBurstShare = 0.25
 )
 
-// retryBudgets holds the retry budget of each service at this process.
+// retryBudgets holds the retry budget of each service in this process.
 type retryBudgets struct {
 	mu        sync.Mutex
 	bounds    RetryBounds
 	byService map[string]*serviceBudget
-	// draw is this process's lot, 0 to 1: where there are more processes than the
-	// bound has further sends to save up, it says who may save one.
+	// draw is a random number of this process, from 0 to 1. If there are more processes than
+	// retries that may accumulate, it decides whether this process may accumulate one.
 	draw float64
 }
 
-// serviceBudget is one service's.
+// serviceBudget is the retry budget of one service.
 type serviceBudget struct {
 	*retry.Budget
-	// recentRequests is about how many requests came within the last window.
+	// recentRequests approximates the number of requests in the last window by exponential
+	// decay.
 	recentRequests float64
 	decayedAt      time.Time
 }
@@ -54,7 +55,7 @@
 	return budget
 }
 
-// recordRequest counts a recordRequest for a service in.
+// recordRequest counts a request for a service.
 func (b *retryBudgets) recordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -64,14 +65,14 @@
 	budget.RecordRequest(now)
 }
 
-// decay lets the requests of earlier windows fade.
+// decay applies the exponential decay of recentRequests up to now.
 func (b *serviceBudget) decay(now time.Time, window time.Duration) {
 	b.recentRequests *= math.Exp(-now.Sub(b.decayedAt).Seconds() / window.Seconds())
 	b.decayedAt = now
 }
 
-// take takes one further send out of the part of the bounds that is this
-// process's, one of sharers.
+// take takes one retry from the share of the bounds that this process has as one of the given
+// number of processes, and reports whether there was one.
 func (b *retryBudgets) take(service string, processes int, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,10 +84,10 @@
 	return budget.Take(now)
 }
 
-// minBurst returns what this process may save up at least: one further send, since
-// less is none. Where its part of the bound is less than one, only as many processes
-// may as the bound has: with one each, 370 entries would send 370 at the same moment
-// where 246 are allowed.
+// minBurst returns the minimum number of retries that this process may accumulate: one, since
+// a fraction allows no retry. If the share of each process is less than one, only as many
+// processes get one as the bound allows. With one for every process, 370 entries would send
+// 370 retries at once where 246 are allowed.
 func (b *retryBudgets) minBurst(share float64) float64 {
 	if b.draw < share*(1-extraRateShare) {
 		return 1
--- a/router/retry_budgets_test.go
+++ b/router/retry_budgets_test.go
@@ -9,10 +9,10 @@
 	testProcesses = 20
 	testExtra     = 82.0
 	testWindow    = 10 * time.Second
-	testRequests  = 200 // requests of each process in a window
+	testRequests  = 200 // requests per process and window
 )
 
-// loadedBudgets returns a process's budgets after a minute of steady requests.
+// loadedBudgets returns the budgets of a process after a minute of steady requests.
 func loadedBudgets(now time.Time) *retryBudgets {
 	b := newRetryBudgets(RetryBounds{Ratio: 0.2, Extra: testExtra, Window: testWindow})
 	for i := range 6 * testRequests {
@@ -21,22 +21,21 @@
 	return b
 }
 
-// Runners are ordered to cut their streams off, and each of twenty entries has
-// ten of them to go on with at the same moment. The bound of a window allows all
-// of these; with one saved retry an entry, users saw their streams end midway.
+// Guards against streams that end midway for users: load orders break off ten streams at
+// each of twenty entries at once, and with one accumulated retry per entry most cannot resume.
 func TestManyStreamsResumeAtOnce(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := loadedBudgets(start)
 	now := start.Add(6 * testWindow)
 	for i := range 10 {
 		if !b.take("lm", testProcesses, now) {
-			t.Fatalf("retry %d of one moment was refused", i)
+			t.Fatalf("retry %d at one moment was refused", i)
 		}
 	}
 }
 
-// However the retries come, all at once after a quiet time or all the time, the
-// bound over all processes holds.
+// Guards against exceeding the bound over all processes, whether retries come all at once
+// after a quiet time or continuously.
 func TestBurstsStayWithinBound(t *testing.T) {
 	start := time.Unix(1000, 0)
 	sent := 0
@@ -51,15 +50,12 @@
 		}
 	}
 	if allowed := 0.2*testProcesses*testRequests + testExtra; float64(sent) > allowed {
-		t.Errorf("%d retries, over %v", sent, allowed)
+		t.Errorf("%d retries, more than the %v allowed", sent, allowed)
 	}
 }
 
-// A rack of runners goes while hundreds of entries have nothing but a request or two
-// each. Each had one further send saved, and together they sent more than the bound
-// of a window: the runners that were left got the whole herd again. At any number of
-// entries, busy or idle, just started or long there, the sum must hold; and where
-// the bound has some for each, each must have one.
+// Guards against retries of hundreds of nearly idle entries overloading the targets left after
+// a rack fails: with one accumulated retry for each entry, their sum exceeds the bound.
 func TestTotalStaysWithinBound(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, size := range []struct {
@@ -83,10 +79,11 @@
 				}
 			}
 			if allowed := 0.2*float64(size.processes*each) + size.extra; float64(sent) > allowed {
-				t.Errorf("%d entries with %d requests each: %d further sends, over %v", size.processes, each, sent, allowed)
+				t.Errorf("%d entries with %d requests each: %d retries, more than the %v allowed", size.processes, each, sent, allowed)
 			}
+			// Where the bound allows a retry for every process, each must get one.
 			if float64(size.processes) < (1-extraRateShare)*size.extra && none > 0 {
-				t.Errorf("%d entries: %d of them have none", size.processes, none)
+				t.Errorf("%d entries: %d of them got no retry", size.processes, none)
 			}
 		}
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -20,28 +20,30 @@
 	"acaciakeel/retry"
 )
 
-// ConfigSource is what a router asks of the process's view of the operators' intent.
+// ConfigSource provides the configuration that the operators have set.
 type ConfigSource interface {
-	// Config returns the configuration in force, or nil before the first.
+	// Config returns the current configuration, or nil before the first one has been read.
 	Config() *catalog.Config
-	// Fresh reports whether the view was confirmed recently enough for a key
-	// to be believed: a key that was taken away must not work for longer than
-	// the bound, also where the news can't arrive.
+	// Fresh reports whether the configuration was confirmed recently enough to trust keys
+	// for authentication. A revoked key must stop working within a fixed time, even when
+	// updates cannot reach this process.
 	Fresh() bool
 }
 
-// Bounds are the figures that the deployment sets.
+// Bounds limits how long outdated weights may be used after newer ones are wanted. The
+// deployment sets it.
 type Bounds struct {
-	// MaxStaleness is for how long after newer weights were named requests may
-	// be sent to targets with older ones.
+	// MaxStaleness is the time during which requests may still be sent to targets with the
+	// older weights.
 	MaxStaleness time.Duration
-	// MaxStartStaleness is for how long after that a run may begin on older ones, wherever it
-	// waits. It ends before the deployment's bound, so that a request that is taken
-	// back then has not begun when the bound comes.
+	// MaxStartStaleness is the time during which a request that is queued at a target may
+	// still start on the older weights. It is shorter than the bound of the deployment, so
+	// that a request that is withdrawn at its end has not started when that bound is
+	// reached.
 	MaxStartStaleness time.Duration
 }
 
-// Router serves requests. It is safe for concurrent use.
+// Router routes requests to targets. It is safe for concurrent use.
 type Router struct {
 	config   ConfigSource
 	fleet    *fleet.Fleet
@@ -53,38 +55,39 @@
 	metrics  *Metrics
 	log      logrus.FieldLogger
 	bounds   Bounds
-	// shutdownDeadline is until when requests may take, once the process is about to end.
+	// shutdownDeadline is when the last requests must have ended; nil unless the process is
+	// stopping.
 	shutdownDeadline atomic.Pointer[time.Time]
 }
 
-// New returns a router, which keeps in t the contents under which targets end, and
-// customers within their limits by q.
+// New returns a router. It records contents that crash targets in t and enforces customer
+// limits with q.
 func New(c ConfigSource, f *fleet.Fleet, s Sender, t *poison.Table, q *quota.Limiter, m *Metrics, log logrus.FieldLogger, b Bounds, r RetryBounds) *Router {
 	return &Router{config: c, fleet: f, sender: s, budgets: newRetryBudgets(r), limiter: q, poison: t, detector: newCrashDetector(s, f, t, log), metrics: m, log: log, bounds: b}
 }
 
-// costWeights is how missing tokens and waiting weigh in the choice of a
-// runner. A missing token costs its own wait and the runner's time, which
-// others wait for.
+// costWeights weighs missing cached tokens against waiting in the choice of a runner. A
+// missing token counts twice: it delays its own request and takes time of the runner for
+// which other requests wait.
 var costWeights = placement.CostWeights{Miss: 2, Wait: 1}
 
-// defaultRetryAfter is when to come back where nothing better is known: the order of
-// a process's restart or of a load of weights.
+// defaultRetryAfter is the Retry-After value where no better estimate exists. It is of the
+// order of a process restart or of a load of weights.
 const defaultRetryAfter = time.Second
 
-// admittedRequest is a request that may be served.
+// admittedRequest is a request with what admission has determined so far.
 type admittedRequest struct {
 	*Request
 	route    *catalog.Route
 	service  *catalog.Service
 	customer *catalog.Customer
 	deadline time.Time
-	// content names what is asked.
+	// content identifies what the request asks for, independent of its ID.
 	content poison.Fingerprint
 }
 
-// Serve answers a request. It returns nil once the answer is whole, or why
-// there is none; then nothing has been written, unless the refusal's kind is
+// Serve answers a request. It returns nil once the response is complete, or the reason for
+// the failure. Nothing has been written to the client in that case, unless the kind is
 // Interrupted.
 func (r *Router) Serve(ctx context.Context, req *Request, writer ResponseWriter) *refusal.Error {
 	in, refused := r.admit(req)
@@ -105,7 +108,8 @@
 	return r.finish(ctx, in, s, s.run(ctx))
 }
 
-// admit decides whether a request is one that the configuration allows.
+// admit checks a request against the configuration and resolves its route, customer and
+// service.
 func (r *Router) admit(req *Request) (*admittedRequest, *refusal.Error) {
 	in := &admittedRequest{Request: req}
 	config := r.config.Config()
@@ -116,8 +120,8 @@
 	in.route = config.Match(req.Host, req.Path)
 	keyed := config.NeedsKeys() && (in.route == nil || !in.route.Public)
 	if keyed && !r.config.Fresh() {
-		// Neither a key nor an unknown route can be judged by old knowledge: a
-		// key may have been taken away, or a route added, meanwhile.
+		// With an outdated configuration neither a key nor an unknown route can be
+		// judged: the key may have been revoked, or the route added, in the meantime.
 		return in, refusal.New(refusal.PlatformDown, "ask another entry",
 			"this entry could not confirm its configuration for too long to trust keys").WithRetryAfter(defaultRetryAfter)
 	}
@@ -142,7 +146,7 @@
 	return in, nil
 }
 
-// charge counts a request against its customer's limit, or refuses it.
+// charge charges a request to the limit of its customer, or refuses it.
 func (r *Router) charge(in *admittedRequest) (*quota.Charge, *refusal.Error) {
 	if in.customer == nil {
 		return nil, nil
@@ -167,13 +171,13 @@
 	return byTimeout
 }
 
-// fingerprint names what is asked, however often and wherever it comes. It takes
-// about a microsecond of a kilobyte.
+// fingerprint returns the content fingerprint, which is the same for every repetition of a
+// request at any process. It takes about 1 µs per KB of body.
 func (in *admittedRequest) fingerprint() poison.Fingerprint {
 	return poison.Content{Method: in.Method, Host: in.Host, URI: in.URI, Customer: in.customerName(), Body: in.Body}.Fingerprint()
 }
 
-// customerName is empty on routes without keys.
+// customerName returns the name of the customer, or "" on routes without keys.
 func (in *admittedRequest) customerName() string {
 	if in.customer == nil {
 		return ""
@@ -181,7 +185,8 @@
 	return in.customer.Name
 }
 
-// priority is the rank that the target gets.
+// priority returns the priority that is sent to the target: that of the customer if it has
+// one, otherwise that of the route.
 func (in *admittedRequest) priority() int {
 	if in.customer != nil && in.customer.HasPriority {
 		return in.customer.Priority
@@ -189,8 +194,9 @@
 	return in.route.Priority
 }
 
-// cacheSalt names whose cached parts may be used, and of which weights: those of
-// all customers together, but for isolated ones.
+// cacheSalt returns the salt that decides which cached prompt parts the request may reuse.
+// All customers share one salt for each model and version of weights, except isolated
+// customers, who have their own.
 func (in *admittedRequest) cacheSalt(weights int64) string {
 	s := prefix.Salt{Model: in.Model, WeightsVersion: strconv.FormatInt(weights, 10)}
 	if in.customer != nil && in.customer.Isolated {
@@ -199,7 +205,7 @@
 	return s.String()
 }
 
-// finish logs and counts how a request ended.
+// finish logs the result of a request and updates the metrics.
 func (r *Router) finish(ctx context.Context, in *admittedRequest, s *session, refused *refusal.Error) *refusal.Error {
 	refused = r.classifyContextError(ctx, in, refused)
 	elapsed := time.Since(in.Received)
@@ -222,7 +228,9 @@
 	return refused
 }
 
-// classifyContextError names the end of the client's time, which shows as any error.
+// classifyContextError replaces the refusal of a request whose context has ended by the reason
+// for that: the process stops, the client has disconnected or its deadline has passed. The
+// refusal itself may hold any error that followed from it.
 func (r *Router) classifyContextError(ctx context.Context, in *admittedRequest, refused *refusal.Error) *refusal.Error {
 	if refused == nil || refused.Kind == refusal.Interrupted {
 		return refused
@@ -244,7 +252,8 @@
 	return refused
 }
 
-// takeRetry takes one further send out of the budget and counts its reason.
+// takeRetry takes one retry from the budget and reports whether the budget had one. It counts
+// retries by reason, and those that the budget did not allow.
 func (s *session) takeRetry(reason retry.Reason) bool {
 	if !s.router.budgets.take(s.in.service.Name, s.router.fleet.ProcessCount(), time.Now()) {
 		s.router.metrics.exhausted.Inc()
--- a/router/session.go
+++ b/router/session.go
@@ -14,42 +14,44 @@
 	"acaciakeel/retry"
 )
 
-// session is one request on its way through one or more targets.
+// session is the state of one request over all its attempts.
 type session struct {
 	router *Router
 	in     *admittedRequest
 	writer ResponseWriter
-	// charge is what the request counts against its customer's limit.
+	// charge is what the request is charged against the limit of its customer.
 	charge *quota.Charge
-	// attempts counts attempts, ran those that may have run.
+	// attempts counts attempts at targets, executions those that may have run the request.
 	attempts      int
 	executions    int
 	tried         []fleet.Instance
 	headerWritten bool
-	// status is what the client was answered with; 0 before.
+	// status is the status code sent to the client; 0 before that.
 	status int
-	// lastEventID is the id of the last event passed on.
+	// lastEventID is the ID of the last event forwarded to the client.
 	lastEventID    int64
 	hasLastEventID bool
 	lastChoice     fleet.Choice
 	active         *fleet.ActiveRequest
-	// guard takes the last send back if it guard for too long to begin.
+	// guard withdraws the current attempt if it does not start in time.
 	guard        *startGuard
 	firstEventAt time.Time
-	// lastEventAt is when the last event was passed on, pause the longest between two.
+	// lastEventAt is when the last event was received, longestPause the longest time between
+	// two events.
 	lastEventAt  time.Time
 	longestPause time.Duration
-	// sentAt is when the last send began, leaving for how long its target had said by
-	// then that it leaves, and rest for how long it wanted nothing yet.
+	// sentAt is when the last attempt was sent. shuttingDownFor is the time since its target
+	// first reported that it is shutting down, and backoffLeft the rest of the backoff that
+	// the target had asked for, both at sentAt.
 	sentAt          time.Time
 	shuttingDownFor time.Duration
 	backoffLeft     time.Duration
-	// staleness is for how long newer weights had been wanted than those of the last
-	// send: when it was sent, and when its first event came.
+	// staleness is for how long newer weights had been wanted than those of the target of
+	// the last attempt: when it was sent, and at its first event.
 	staleness struct{ atSend, atFirstEvent time.Duration }
-	// tracked counts the request among those of its content, judged is how that stood before
-	// the last send, and asked is closed once it is known whether the target that broke
-	// the last answer off has ended; nil where none did.
+	// tracked registers the request under its content fingerprint. decision is the poison
+	// decision before the last attempt. probed is closed once the first probe of the target
+	// that broke off the last response has a result; nil if there is no such probe.
 	tracked  *poison.ActiveRequest
 	decision poison.Decision
 	probed   <-chan struct{}
@@ -83,12 +85,13 @@
 	}
 }
 
-// settleCharge gives the customer back what it was charged for sends that did not run.
+// settleCharge refunds the customer for attempts that did not run.
 func (s *session) settleCharge() {
 	s.charge.SetExecutions(s.executions)
 }
 
-// giveUp passes on the target's own failure, or returns the refusal.
+// giveUp ends a request that is not retried. It forwards the error response of the target,
+// if there is one, or returns the refusal.
 func (s *session) giveUp(out attemptResult) *refusal.Error {
 	if s.headerWritten {
 		s.writer.Abort()
@@ -100,7 +103,7 @@
 		return s.writeWhole(out.response)
 	}
 	if s.executions > 0 && out.refused.Outcome == refusal.NotRun {
-		// The last target did not run it, but an earlier one may have.
+		// The last target did not run the request, but an earlier one may have.
 		unknown := *out.refused
 		unknown.Outcome = refusal.Unknown
 		return &unknown
@@ -112,7 +115,7 @@
 	return s.router.fleet.Choose(s.query(), time.Now())
 }
 
-// query is what the choice of a target rests on.
+// query returns the requirements for the choice of a target.
 func (s *session) query() fleet.Query {
 	in := s.in
 	q := fleet.Query{
@@ -134,7 +137,7 @@
 	return q
 }
 
-// send sends the request to one target and passes its answer on.
+// send sends the request to one target and forwards the response.
 func (s *session) send(ctx context.Context, choice fleet.Choice) attemptResult {
 	attemptCtx, cancel := s.attemptContext(ctx)
 	defer cancel()
@@ -171,7 +174,7 @@
 		return s.outcomeUnknown(retry.Interrupted, "the target %s sent bytes that are not its answer to this request", choice.Target.ID)
 	}
 	if s.headerWritten && response.Status >= 300 {
-		// The client has the head and the first events of another answer.
+		// The client has already received the header and the first events of another response.
 		return s.outcomeUnknown(retry.Continued, "target %s answered %d in place of the rest of a stream", choice.Target.ID, response.Status)
 	}
 	if s.in.route.Kind == catalog.Stream && response.Status < 300 {
@@ -181,18 +184,19 @@
 	return s.forwardWhole(choice, response)
 }
 
-// Figures of the patience with one target of a request that may be repeated.
+// Timeouts of an attempt that may be repeated at another target.
 const (
-	// attemptTimeoutFactor is how many objectives a target is given: by then it is
-	// more likely to hang than to be busy.
+	// attemptTimeoutFactor is the timeout in multiples of the objective of the route. A
+	// target that takes longer is more likely to hang than to be busy.
 	attemptTimeoutFactor = 3
-	// minAttemptTimeout is the least patience, some runs of a plain service.
+	// minAttemptTimeout is the minimum timeout: the time of several runs of a service
+	// without a model.
 	minAttemptTimeout = 200 * time.Millisecond
 )
 
-// attemptContext bounds one attempt where another target may still be asked. A
-// target that hangs keeps its connections open and its health good; only
-// the time that it takes shows it.
+// attemptContext limits the time of an attempt if another target may still run the request.
+// A target that hangs keeps its connections open and stays healthy, so that only the time
+// it takes reveals it.
 func (s *session) attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	r := s.in.route
 	if r.Kind != catalog.Idempotent || s.executions+1 >= r.Attempts || r.Objective <= 0 {
@@ -211,12 +215,13 @@
 		Capacity:        s.cacheCapacity(),
 		Long:            choice.Long,
 		HeldTokens:      fleet.EstimateHeldTokens(s.in.InputTokens, choice.CachedTokens, s.in.MaxOutputTokens),
-		// The send that begins now counts as one that may have run.
+		// The attempt that starts now counts as an execution.
 		Resumable: s.in.route.Repeatable() && s.executions+1 < s.in.route.Attempts && s.attempts < retry.MaxAttempts,
 	}
 }
 
-// cacheCapacity is what a runner holds at most; what it has dropped of that it tells.
+// cacheCapacity returns the token capacity of a runner of the service, 0 if unknown. Runners
+// report evictions themselves.
 func (s *session) cacheCapacity() int {
 	if s.in.service.Engine == nil {
 		return 0
@@ -236,7 +241,7 @@
 	return attempt
 }
 
-// recordResponse takes what an answer says of its target beside the answer itself.
+// recordResponse records what the header of a response says about its target.
 func (s *session) recordResponse(choice fleet.Choice, resp *Response) {
 	f := s.router.fleet
 	if resp.HasLoad {
--- a/router/shutdown.go
+++ b/router/shutdown.go
@@ -7,25 +7,25 @@
 	"acaciakeel/catalog"
 )
 
-// ErrShutdown is the cause with which the context of requests is canceled when the
-// process ends. They get a last answer then that says what is known of them; a
-// stream that has begun breaks off.
+// ErrShutdown is the cause with which the contexts of requests are canceled when the process
+// stops. Their clients then get a last response that reports the known outcome; a stream
+// that has begun breaks off.
 var ErrShutdown = errors.New("the process ends")
 
-// shutdownRetryAfter is when to come back after a refusal by an entry that stops:
-// others serve, and a new connection leads to one.
+// shutdownRetryAfter is the Retry-After value of an entry that is stopping. It is short
+// because other entries still serve, and a new connection leads to one of them.
 const shutdownRetryAfter = 100 * time.Millisecond
 
-// SetShutdownDeadline tells the router that the process ends at a time. Requests that are not
-// expected to end before that are refused at once, as not run: broken off in
-// the middle, one that may run once could not be sent again, and of a stream the
-// client would have to know where to go on.
+// SetShutdownDeadline announces when the process stops. Requests that are not expected to end
+// by then are refused immediately as not run. If they were broken off later, a request that
+// may run only once could not be retried, and the client would have to know where to resume
+// a stream.
 func (r *Router) SetShutdownDeadline(deadline time.Time) {
 	r.shutdownDeadline.Store(&deadline)
 }
 
-// expectedToEndBy reports whether a request is expected to end by a time: a stream within
-// the client's patience, an answer in one piece within its route's objective.
+// expectedToEndBy reports whether a request is expected to end by a time: a stream by the
+// deadline of its client or route, any other request within the objective of its route.
 func (in *admittedRequest) expectedToEndBy(until time.Time) bool {
 	if in.route.Kind == catalog.Stream {
 		return !in.deadline.IsZero() && !in.deadline.After(until)
--- a/router/start_guard.go
+++ b/router/start_guard.go
@@ -12,11 +12,11 @@
 	"acaciakeel/retry"
 )
 
-// startGuard takes a request back from its target if it has not begun there when the
-// bound on the target's weights comes. The choice of a target guards the sending
-// alone; what is sent then may wait at the target for longer than anybody expects,
-// and would begin on weights that were replaced too long ago. Newer weights may also
-// be named while it waits, so the bound is looked up again whenever it may have come.
+// startGuard withdraws a request that has not started at its target before the weights there
+// become too old. The choice of a target only checks the weights at the time of sending; the
+// request may then wait at the target for longer than expected and start on weights that were
+// replaced too long ago. Newer weights may also become wanted while it waits, so the guard
+// checks the staleness again whenever it may have reached the limit.
 type startGuard struct {
 	fleet        *fleet.Fleet
 	choice       fleet.Choice
@@ -29,7 +29,8 @@
 	expired bool
 }
 
-// guardStart watches over a send until its run has begun.
+// guardStart starts a guard for an attempt. The guard is inactive for requests without a model
+// and if no limit is set.
 func (s *session) guardStart(choice fleet.Choice, cancel context.CancelFunc) *startGuard {
 	g := &startGuard{fleet: s.router.fleet, choice: choice, maxStaleness: s.router.bounds.MaxStartStaleness, cancel: cancel}
 	if choice.Model == "" || g.maxStaleness <= 0 {
@@ -40,46 +41,46 @@
 	return g
 }
 
-// check takes the request back if its time is over, or looks again when it may be.
-func (r *startGuard) check() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.stopped {
+// check withdraws the request if the limit has been reached, or schedules the next check.
+func (g *startGuard) check() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.stopped {
 		return
 	}
-	remaining := r.maxStaleness - r.fleet.StaleFor(r.choice.Model, r.choice.WeightsVersion, time.Now())
+	remaining := g.maxStaleness - g.fleet.StaleFor(g.choice.Model, g.choice.WeightsVersion, time.Now())
 	if remaining > 0 {
-		r.timer = time.AfterFunc(remaining, r.check)
+		g.timer = time.AfterFunc(remaining, g.check)
 		return
 	}
-	r.expired = true
-	r.cancel()
+	g.expired = true
+	g.cancel()
 }
 
-// stop notes that the run has begun, or that the send has ended.
-func (r *startGuard) stop() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.stopped = true
-	if r.timer != nil {
-		r.timer.Stop()
+// stop stops the guard because the run has started or the attempt has ended.
+func (g *startGuard) stop() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.stopped = true
+	if g.timer != nil {
+		g.timer.Stop()
 	}
 }
 
-func (r *startGuard) hasExpired() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.expired
+func (g *startGuard) hasExpired() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.expired
 }
 
-// handleWithdrawn handles a send that was taken back. Whether it ran nobody knows: the
-// target may have begun it at the same moment.
+// handleWithdrawn handles an attempt that the guard withdrew. Its outcome is unknown: the
+// target may have started the request at the same moment.
 func (s *session) handleWithdrawn(choice fleet.Choice) attemptResult {
 	f := s.router.fleet
 	s.router.log.WithFields(logrus.Fields{
 		"event": "taken_back", "request": s.in.ID, "target": choice.Target.ID, "born": choice.Target.Born, "weights": choice.WeightsVersion,
 		"newest": f.DesiredVersion(choice.Model), "replaced_ms": f.StaleFor(choice.Model, choice.WeightsVersion, time.Now()).Milliseconds(),
-	}).Warn("the target had not begun it when the time of its weights ended")
+	}).Warn("request withdrawn: the target had not started it when its weights became too old")
 	refused := refusal.New(refusal.WeightsReplaced, "send again what may be repeated, or look the result up",
 		"target %s had not begun it when the time of its weights ended", choice.Target.ID)
 	refused.Outcome = refusal.Unknown
--- a/router/stream.go
+++ b/router/stream.go
@@ -12,13 +12,13 @@
 	"acaciakeel/retry"
 )
 
-// maxEventBytes bounds one event of a stream, in bytes; past it a target is taken
-// to send something that is no stream of events.
+// maxEventBytes is the maximum size of an event. A target that exceeds it is assumed not to
+// send an event stream.
 const maxEventBytes = 1 << 20
 
 var errEventTooLong = errors.New("an event is over a megabyte long")
 
-// resumeAfter returns the event resumeAfter which the next target goes on.
+// resumeAfter returns the ID of the event after which the next target continues the stream.
 func (s *session) resumeAfter() string {
 	if s.hasLastEventID {
 		return strconv.FormatInt(s.lastEventID, 10)
@@ -26,8 +26,9 @@
 	return s.in.LastEventID
 }
 
-// forwardStream passes a forwardStream of events on, each as it is complete: a target may
-// stop in the middle of an event, and half of one can't be taken back.
+// forwardStream forwards the events of a stream, each once it is complete. A target may break
+// off in the middle of an event, and a partial event that the client has received cannot be
+// withdrawn.
 func (s *session) forwardStream(choice fleet.Choice, resp *Response) attemptResult {
 	in := bufio.NewReader(resp.Body)
 	for {
@@ -55,7 +56,7 @@
 	}
 }
 
-// recordEvent notes when an event came.
+// recordEvent records the arrival of an event.
 func (s *session) recordEvent(now time.Time) {
 	if s.firstEventAt.IsZero() {
 		s.firstEventAt = now
@@ -67,7 +68,7 @@
 	s.active.FirstEvent(now)
 }
 
-// recordStart notes on how old weights a run recordStart.
+// recordStart records how stale the weights were when the run started.
 func (s *session) recordStart(now time.Time) {
 	s.staleness.atFirstEvent = s.router.fleet.StaleFor(s.in.Model, s.lastChoice.WeightsVersion, now)
 	if s.staleness.atFirstEvent > 0 {
@@ -75,8 +76,8 @@
 	}
 }
 
-// finishStream passes the end of a stream on. What follows the last whole event is
-// the target's own and goes along.
+// finishStream forwards the end of a stream, including any bytes that the target sent after
+// the last complete event.
 func (s *session) finishStream(choice fleet.Choice, resp *Response, rest []byte) attemptResult {
 	s.router.fleet.RecordSuccess(choice.Target.Instance())
 	s.active.Complete(time.Now())
@@ -89,7 +90,8 @@
 	return succeeded
 }
 
-// forwardEvent passes an event on, unless the client has it from an earlier target.
+// forwardEvent forwards an event, unless the client has already received it from an earlier
+// target.
 func (s *session) forwardEvent(resp *Response, event []byte) error {
 	id, ok := eventID(event)
 	if ok && s.hasLastEventID && id <= s.lastEventID {
@@ -112,8 +114,8 @@
 	return s.writer.Write(p)
 }
 
-// readEvent reads up to and with the empty line that ends an event. At the end
-// of the stream it returns what is left with io.EOF.
+// readEvent reads up to and including the empty line that ends an event. At the end of the
+// stream it returns the remaining bytes with io.EOF.
 func readEvent(in *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -134,7 +136,7 @@
 
 var idField = []byte("id:")
 
-// eventID returns the id of an event, where it has a number for one.
+// eventID returns the ID of an event, if it has a numeric one.
 func eventID(event []byte) (int64, bool) {
 	for line := range bytes.Lines(event) {
 		if !bytes.HasPrefix(line, idField) {
--- a/router/stream_test.go
+++ b/router/stream_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// Whatever a target sends, events and the rest together are its bytes, in order.
+// For any input, the events and the remaining bytes together equal the input.
 func FuzzReadEvent(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\n"))
 	f.Add([]byte("\n\n\r\n:"))
