--- a/router/crash_detector.go
+++ b/router/crash_detector.go
@@ -100,10 +100,12 @@
 
 // recordBrokenResponse records that a request got no complete response, even if the client
 // disconnected or the deadline passed: the request may have crashed the target all the same.
-// If the target or the network broke the response off, it also starts a probe.
+// If the target or the network broke the response off, it also starts a probe. Neither is
+// done for a target that is no longer available for new requests, such as one that shuts
+// down.
 func (s *session) recordBrokenResponse(choice fleet.Choice, err error) {
-	leaving := !s.router.fleet.Available(choice.Target.Instance())
-	if !leaving {
+	unavailable := !s.router.fleet.Available(choice.Target.Instance())
+	if !unavailable {
 		s.router.poison.RecordBrokenResponse(s.in.poisonCase(), choice.Target.Instance(), s.sentAt, time.Now())
 	}
 	if !causedByPeer(err) {
@@ -111,9 +113,9 @@
 	}
 	s.router.log.WithFields(logrus.Fields{
 		"event": "broke_off", "request": s.in.ID, "content": s.in.content.String(), "target": choice.Target.ID, "born": choice.Target.Born,
-		"leaving": leaving, "events": s.hasLastEventID,
+		"leaving": unavailable, "events": s.hasLastEventID,
 	}).Info("response of the target broke off")
-	if !leaving {
+	if !unavailable {
 		// After a planned shutdown, the end of the target says nothing about the request.
 		s.probed = s.router.detector.probe(choice.Target)
 	}
