--- a/router/poison.go
+++ b/router/poison.go
@@ -15,9 +15,9 @@
 
 // checkPoison refuses a request whose content is known to crash targets, and stores the
 // decision by which a suspect is isolated. A request that crashes its targets is repeated
-// under new IDs and at other processes, where limits per ID or per process start anew: it
-// crashed nineteen targets in turn, and the other requests on each were lost. Its content
-// fingerprint stays the same.
+// under new IDs and at other processes, where limits per ID or per process start anew: with
+// nineteen targets, the other requests on each of them were lost. Its content fingerprint
+// stays the same.
 func (s *session) checkPoison(now time.Time) *refusal.Error {
 	if s.router.fleet.Disabled(policy.PoisonDetection) {
 		return nil
