--- /dev/null
+++ b/router/poison.go
@@ -0,0 +1,41 @@
+package router
+
+import (
+	"time"
+
+	"acaciakeel/poison"
+	"acaciakeel/policy"
+	"acaciakeel/refusal"
+)
+
+// poisonCase returns what identifies the request in the poison table.
+func (in *admittedRequest) poisonCase() poison.Case {
+	return poison.Case{Content: in.content, Service: in.service.Name, Customer: in.customerName(), Request: in.ID}
+}
+
+// checkPoison refuses a request whose content is known to crash targets, and stores the
+// decision by which a suspect is isolated. A request that crashes its targets is repeated
+// under new IDs and at other processes, where limits per ID or per process start anew: with
+// nineteen targets, the other requests on each of them were lost. Its content fingerprint
+// stays the same.
+func (s *session) checkPoison(now time.Time) *refusal.Error {
+	if s.router.fleet.Disabled(policy.PoisonDetection) {
+		return nil
+	}
+	decision := s.router.poison.Evaluate(s.in.content, now)
+	s.decision = decision
+	disposition := "this one was not run"
+	if s.executions > 0 {
+		// An earlier attempt of this request may have crashed one of the targets.
+		disposition = "this one is not sent on"
+	}
+	switch decision.Status {
+	case poison.Refused:
+		return refusal.New(refusal.CrashesTargets, "change the request, or come back after the time in Retry-After; operators can lift the verdict",
+			"%d targets ended while they ran requests with the same content (%s); %s", decision.Crashes, s.in.content, disposition).WithRetryAfter(decision.Remaining)
+	case poison.Waiting:
+		return refusal.New(refusal.SuspectInProgress, "come back after the time in Retry-After",
+			"a target ended while it ran a request with the same content (%s), and another is being tried; %s", s.in.content, disposition).WithRetryAfter(defaultRetryAfter)
+	}
+	return nil
+}
--- a/router/router.go
+++ b/router/router.go
@@ -20,106 +20,110 @@
 	"acaciakeel/retry"
 )
 
-// ConfigSource is what a router asks of the process's view of the operators' intent.
+// ConfigSource provides the configuration that the operators have set.
 type ConfigSource interface {
-	// Config returns the configuration in force, or nil before the first.
+	// Config returns the current configuration, or nil before the first one has been read.
 	Config() *catalog.Config
-	// Fresh reports whether the view was confirmed recently enough for a key
-	// to be believed: a key that was taken away must not work for longer than
-	// the bound, also where the news can't arrive.
+	// Fresh reports whether the configuration was confirmed recently enough to trust keys
+	// for authentication. A revoked key must stop working within a fixed time, even when
+	// updates cannot reach this process.
 	Fresh() bool
 }
 
-// Bounds are the figures that the deployment sets.
+// Bounds limits how long outdated weights may be used after newer ones are wanted. The
+// deployment sets it.
 type Bounds struct {
-	// MaxStaleness is for how long after newer weights were named requests may
-	// be sent to targets with older ones.
+	// MaxStaleness is the time during which requests may still be sent to targets with the
+	// older weights.
 	MaxStaleness time.Duration
-	// MaxStartStaleness is for how long after that a run may begin on older ones, wherever it
-	// waits. It ends before the deployment's bound, so that a request that is taken
-	// back then has not begun when the bound comes.
+	// MaxStartStaleness is the time during which a request that is queued at a target may
+	// still start on the older weights. It is shorter than the bound of the deployment, so
+	// that a request that is withdrawn at its end has not started when that bound is
+	// reached.
 	MaxStartStaleness time.Duration
 }
 
-// Router serves requests. It is safe for concurrent use.
+// Router routes requests to targets. It is safe for concurrent use.
 type Router struct {
-	config  ConfigSource
-	fleet   *fleet.Fleet
-	sender  Sender
-	budgets *budgets
-	limits  *quota.Limiter
-	poison  *poison.Table
-	endings *endings
-	metrics *Metrics
-	log     logrus.FieldLogger
-	bounds  Bounds
-	// leaving is until when requests may take, once the process is about to end.
-	leaving atomic.Pointer[time.Time]
-}
-
-// New returns a router, which keeps in t the contents under which targets end, and
-// customers within their limits by q.
+	config   ConfigSource
+	fleet    *fleet.Fleet
+	sender   Sender
+	budgets  *retryBudgets
+	limiter  *quota.Limiter
+	poison   *poison.Table
+	detector *crashDetector
+	metrics  *Metrics
+	log      logrus.FieldLogger
+	bounds   Bounds
+	// shutdownDeadline is when the last requests must have ended; nil unless the process is
+	// stopping.
+	shutdownDeadline atomic.Pointer[time.Time]
+}
+
+// New returns a router. It records contents that crash targets in t and enforces customer
+// limits with q.
 func New(c ConfigSource, f *fleet.Fleet, s Sender, t *poison.Table, q *quota.Limiter, m *Metrics, log logrus.FieldLogger, b Bounds, r RetryBounds) *Router {
-	return &Router{config: c, fleet: f, sender: s, budgets: newBudgets(r), limits: q, poison: t, endings: newEndings(s, f, t, log), metrics: m, log: log, bounds: b}
+	return &Router{config: c, fleet: f, sender: s, budgets: newRetryBudgets(r), limiter: q, poison: t, detector: newCrashDetector(s, f, t, log), metrics: m, log: log, bounds: b}
 }
 
-// cacheWeights is how missing tokens and waiting weigh in the choice of a
-// runner. A missing token costs its own wait and the runner's time, which
-// others wait for.
-var cacheWeights = placement.CostWeights{Miss: 2, Wait: 1}
+// costWeights weighs missing cached tokens against waiting in the choice of a runner. A
+// missing token counts twice: it delays its own request and takes time of the runner for
+// which other requests wait.
+var costWeights = placement.CostWeights{Miss: 2, Wait: 1}
 
-// retryAfter is when to come back where nothing better is known: the order of
-// a process's restart or of a load of weights.
-const retryAfter = time.Second
+// defaultRetryAfter is the Retry-After value where no better estimate exists. It is of the
+// order of a process restart or of a load of weights.
+const defaultRetryAfter = time.Second
 
-// admitted is a request that may be served.
-type admitted struct {
+// admittedRequest is a request with what admission has determined so far.
+type admittedRequest struct {
 	*Request
 	route    *catalog.Route
 	service  *catalog.Service
 	customer *catalog.Customer
-	limit    time.Time
-	// content names what is asked.
+	deadline time.Time
+	// content identifies what the request asks for, independent of its ID.
 	content poison.Fingerprint
 }
 
-// Serve answers a request. It returns nil once the answer is whole, or why
-// there is none; then nothing has been written, unless the refusal's kind is
+// Serve answers a request. It returns nil once the response is complete, or the reason for
+// the failure. Nothing has been written to the client in that case, unless the kind is
 // Interrupted.
-func (r *Router) Serve(ctx context.Context, req *Request, reply ResponseWriter) *refusal.Error {
+func (r *Router) Serve(ctx context.Context, req *Request, writer ResponseWriter) *refusal.Error {
 	in, refused := r.admit(req)
 	if refused != nil {
 		return r.finish(ctx, in, nil, refused)
 	}
-	if !in.limit.IsZero() {
+	if !in.deadline.IsZero() {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, in.limit)
+		ctx, cancel = context.WithDeadline(ctx, in.deadline)
 		defer cancel()
 	}
 	charge, refused := r.charge(in)
 	if refused != nil {
 		return r.finish(ctx, in, nil, refused)
 	}
-	s := &session{router: r, in: in, reply: reply, charge: charge}
+	s := &session{router: r, in: in, writer: writer, charge: charge}
 	defer s.settleCharge()
 	return r.finish(ctx, in, s, s.run(ctx))
 }
 
-// admit decides whether a request is one that the configuration allows.
-func (r *Router) admit(req *Request) (*admitted, *refusal.Error) {
-	in := &admitted{Request: req}
+// admit checks a request against the configuration and resolves its route, customer and
+// service.
+func (r *Router) admit(req *Request) (*admittedRequest, *refusal.Error) {
+	in := &admittedRequest{Request: req}
 	config := r.config.Config()
 	if config == nil {
 		return in, refusal.New(refusal.TargetNotReady, "come back after the time in Retry-After, or ask another entry",
-			"this entry has no configuration yet").WithRetryAfter(retryAfter)
+			"this entry has no configuration yet").WithRetryAfter(defaultRetryAfter)
 	}
 	in.route = config.Match(req.Host, req.Path)
 	keyed := config.NeedsKeys() && (in.route == nil || !in.route.Public)
 	if keyed && !r.config.Fresh() {
-		// Neither a key nor an unknown route can be judged by old knowledge: a
-		// key may have been taken away, or a route added, meanwhile.
+		// With an outdated configuration neither a key nor an unknown route can be
+		// judged: the key may have been revoked, or the route added, in the meantime.
 		return in, refusal.New(refusal.PlatformDown, "ask another entry",
-			"this entry could not confirm its configuration for too long to trust keys").WithRetryAfter(retryAfter)
+			"this entry could not confirm its configuration for too long to trust keys").WithRetryAfter(defaultRetryAfter)
 	}
 	if in.route == nil {
 		return in, refusal.New(refusal.NotFound, "check host and path", "no route for %s%s", req.Host, req.Path)
@@ -135,19 +139,19 @@
 		return in, refusal.New(refusal.UnknownService, "tell the operators", "route %s leads to no service", in.route.Name)
 	}
 	in.content = in.fingerprint()
-	in.limit = earliest(req.Deadline, in.route.Timeout, req.Received)
-	if until := r.leaving.Load(); until != nil && !in.endsBy(*until) {
-		return in, refusal.New(refusal.Stopping, "ask another entry", "this entry stops before the request is expected to end").WithRetryAfter(leaveRetryAfter)
+	in.deadline = earlierDeadline(req.Deadline, in.route.Timeout, req.Received)
+	if stop := r.shutdownDeadline.Load(); stop != nil && !in.expectedToEndBy(*stop) {
+		return in, refusal.New(refusal.Stopping, "ask another entry", "this entry stops before the request is expected to end").WithRetryAfter(shutdownRetryAfter)
 	}
 	return in, nil
 }
 
-// charge counts a request against its customer's limit, or refuses it.
-func (r *Router) charge(in *admitted) (*quota.Charge, *refusal.Error) {
+// charge charges a request to the limit of its customer, or refuses it.
+func (r *Router) charge(in *admittedRequest) (*quota.Charge, *refusal.Error) {
 	if in.customer == nil {
 		return nil, nil
 	}
-	charge, wait, ok := r.limits.Admit(in.customer.Name, in.Size, time.Now())
+	charge, wait, ok := r.limiter.Admit(in.customer.Name, in.Size, time.Now())
 	if ok {
 		return charge, nil
 	}
@@ -156,42 +160,44 @@
 		"customer %s is over its limit of %.0f %s a second", in.customer.Name, l.Rate, l.Unit).WithRetryAfter(wait)
 }
 
-func earliest(deadline time.Time, timeout time.Duration, received time.Time) time.Time {
+func earlierDeadline(deadline time.Time, timeout time.Duration, received time.Time) time.Time {
 	if timeout <= 0 {
 		return deadline
 	}
-	limit := received.Add(timeout)
-	if !deadline.IsZero() && deadline.Before(limit) {
+	byTimeout := received.Add(timeout)
+	if !deadline.IsZero() && deadline.Before(byTimeout) {
 		return deadline
 	}
-	return limit
+	return byTimeout
 }
 
-// fingerprint names what is asked, however often and wherever it comes. It takes
-// about a microsecond of a kilobyte.
-func (in *admitted) fingerprint() poison.Fingerprint {
+// fingerprint returns the content fingerprint, which is the same for every repetition of a
+// request at any process. It takes about 1 µs per KB of body.
+func (in *admittedRequest) fingerprint() poison.Fingerprint {
 	return poison.Content{Method: in.Method, Host: in.Host, URI: in.URI, Customer: in.customerName(), Body: in.Body}.Fingerprint()
 }
 
-// customerName is empty on routes without keys.
-func (in *admitted) customerName() string {
+// customerName returns the name of the customer, or "" on routes without keys.
+func (in *admittedRequest) customerName() string {
 	if in.customer == nil {
 		return ""
 	}
 	return in.customer.Name
 }
 
-// priority is the rank that the target gets.
-func (in *admitted) priority() int {
+// priority returns the priority that is sent to the target: that of the customer if it has
+// one, otherwise that of the route.
+func (in *admittedRequest) priority() int {
 	if in.customer != nil && in.customer.HasPriority {
 		return in.customer.Priority
 	}
 	return in.route.Priority
 }
 
-// salt names whose cached parts may be used, and of which weights: those of
-// all customers together, but for isolated ones.
-func (in *admitted) salt(weights int64) string {
+// cacheSalt returns the salt that decides which cached prompt parts the request may reuse.
+// All customers share one salt for each model and version of weights, except isolated
+// customers, who have their own.
+func (in *admittedRequest) cacheSalt(weights int64) string {
 	s := prefix.Salt{Model: in.Model, WeightsVersion: strconv.FormatInt(weights, 10)}
 	if in.customer != nil && in.customer.Isolated {
 		s.Customer = in.customer.Name
@@ -199,17 +205,17 @@
 	return s.String()
 }
 
-// finish logs and counts how a request ended.
-func (r *Router) finish(ctx context.Context, in *admitted, s *session, refused *refusal.Error) *refusal.Error {
-	refused = r.settle(ctx, in, refused)
-	took := time.Since(in.Received)
-	fields := logrus.Fields{"event": "request", "request": in.ID, "took_ms": took.Milliseconds()}
+// finish logs the result of a request and updates the metrics.
+func (r *Router) finish(ctx context.Context, in *admittedRequest, s *session, refused *refusal.Error) *refusal.Error {
+	refused = r.classifyContextError(ctx, in, refused)
+	elapsed := time.Since(in.Received)
+	fields := logrus.Fields{"event": "request", "request": in.ID, "took_ms": elapsed.Milliseconds()}
 	if in.route != nil {
 		fields["route"] = in.route.Name
 	}
 	if s != nil {
-		s.describe(fields)
-		r.metrics.latency.WithLabelValues(in.route.Name).Observe(took.Seconds())
+		s.addLogFields(fields)
+		r.metrics.latency.WithLabelValues(in.route.Name).Observe(elapsed.Seconds())
 	}
 	if refused == nil {
 		r.log.WithFields(fields).Info("served")
@@ -222,14 +228,16 @@
 	return refused
 }
 
-// settle names the end of the client's time, which shows as any error.
-func (r *Router) settle(ctx context.Context, in *admitted, refused *refusal.Error) *refusal.Error {
+// classifyContextError replaces the refusal of a request whose context has ended by the reason
+// for that: the process stops, the client has disconnected or its deadline has passed. The
+// refusal itself may hold any error that followed from it.
+func (r *Router) classifyContextError(ctx context.Context, in *admittedRequest, refused *refusal.Error) *refusal.Error {
 	if refused == nil || refused.Kind == refusal.Interrupted {
 		return refused
 	}
 	switch {
 	case errors.Is(context.Cause(ctx), ErrShutdown):
-		out := refusal.New(refusal.Stopping, "ask another entry; look the result up where it may have run", "this entry stopped before the request ended").WithRetryAfter(leaveRetryAfter)
+		out := refusal.New(refusal.Stopping, "ask another entry; look the result up where it may have run", "this entry stopped before the request ended").WithRetryAfter(shutdownRetryAfter)
 		out.Outcome = refused.Outcome
 		return out
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -244,8 +252,9 @@
 	return refused
 }
 
-// mayRetry takes one further send out of the budget and counts its reason.
-func (s *session) mayRetry(reason retry.Reason) bool {
+// takeRetry takes one retry from the budget and reports whether the budget had one. It counts
+// retries by reason, and those that the budget did not allow.
+func (s *session) takeRetry(reason retry.Reason) bool {
 	if !s.router.budgets.take(s.in.service.Name, s.router.fleet.ProcessCount(), time.Now()) {
 		s.router.metrics.exhausted.Inc()
 		return false
--- a/router/stream.go
+++ b/router/stream.go
@@ -12,115 +12,117 @@
 	"acaciakeel/retry"
 )
 
-// maxEvent bounds one event of a stream, in bytes; past it a target is taken
-// to send something that is no stream of events.
-const maxEvent = 1 << 20
+// maxEventBytes is the maximum size of an event. A target that exceeds it is assumed not to
+// send an event stream.
+const maxEventBytes = 1 << 20
 
 var errEventTooLong = errors.New("an event is over a megabyte long")
 
-// after returns the event after which the next target goes on.
-func (s *session) after() string {
-	if s.hasEvent {
-		return strconv.FormatInt(s.lastEvent, 10)
+// resumeAfter returns the ID of the event after which the next target continues the stream.
+func (s *session) resumeAfter() string {
+	if s.hasLastEventID {
+		return strconv.FormatInt(s.lastEventID, 10)
 	}
 	return s.in.LastEventID
 }
 
-// stream passes a stream of events on, each as it is complete: a target may
-// stop in the middle of an event, and half of one can't be taken back.
-func (s *session) stream(choice fleet.Choice, a *Response) result {
-	in := bufio.NewReader(a.Body)
+// forwardStream forwards the events of a stream, each once it is complete. A target may break
+// off in the middle of an event, and a partial event that the client has received cannot be
+// withdrawn.
+func (s *session) forwardStream(choice fleet.Choice, resp *Response) attemptResult {
+	in := bufio.NewReader(resp.Body)
 	for {
 		event, err := readEvent(in)
 		if err == io.EOF {
-			return s.ended(choice, a, event)
+			return s.finishStream(choice, resp, event)
 		}
-		if err != nil && s.waits.took() {
-			return s.takenBack(choice)
+		if err != nil && s.guard.hasExpired() {
+			return s.handleWithdrawn(choice)
 		}
 		if err != nil {
 			s.router.fleet.RecordFailure(choice.Target.Instance(), time.Now())
-			s.brokeOff(choice, err)
+			s.recordBrokenResponse(choice, err)
 			reason := retry.Interrupted
-			if s.begun {
+			if s.headerWritten {
 				reason = retry.Continued
 			}
-			return s.lost(reason, "the stream of target %s broke off: %v", choice.Target.ID, err)
+			return s.outcomeUnknown(reason, "the stream of target %s broke off: %v", choice.Target.ID, err)
 		}
-		s.waits.end()
-		s.arrived(time.Now())
-		if err := s.forward(a, event); err != nil {
-			return result{refused: clientLeft(err)}
+		s.guard.stop()
+		s.recordEvent(time.Now())
+		if err := s.forwardEvent(resp, event); err != nil {
+			return attemptResult{refused: clientGone(err)}
 		}
 	}
 }
 
-// arrived notes when an event came.
-func (s *session) arrived(now time.Time) {
-	if s.firstAt.IsZero() {
-		s.firstAt = now
-		s.began(now)
+// recordEvent records the arrival of an event.
+func (s *session) recordEvent(now time.Time) {
+	if s.firstEventAt.IsZero() {
+		s.firstEventAt = now
+		s.recordStart(now)
 	} else {
-		s.pause = max(s.pause, now.Sub(s.lastAt))
+		s.longestPause = max(s.longestPause, now.Sub(s.lastEventAt))
 	}
-	s.lastAt = now
-	s.ticket.FirstEvent(now)
+	s.lastEventAt = now
+	s.active.FirstEvent(now)
 }
 
-// began notes on how old weights a run began.
-func (s *session) began(now time.Time) {
-	s.replaced.first = s.router.fleet.StaleFor(s.in.Model, s.last.WeightsVersion, now)
-	if s.replaced.first > 0 {
-		s.router.metrics.replaced.Observe(s.replaced.first.Seconds())
+// recordStart records how stale the weights were when the run started.
+func (s *session) recordStart(now time.Time) {
+	s.staleness.atFirstEvent = s.router.fleet.StaleFor(s.in.Model, s.lastChoice.WeightsVersion, now)
+	if s.staleness.atFirstEvent > 0 {
+		s.router.metrics.startStaleness.Observe(s.staleness.atFirstEvent.Seconds())
 	}
 }
 
-// ended passes the end of a stream on. What follows the last whole event is
-// the target's own and goes along.
-func (s *session) ended(choice fleet.Choice, a *Response, rest []byte) result {
+// finishStream forwards the end of a stream, including any bytes that the target sent after
+// the last complete event.
+func (s *session) finishStream(choice fleet.Choice, resp *Response, rest []byte) attemptResult {
 	s.router.fleet.RecordSuccess(choice.Target.Instance())
-	s.ticket.Complete(time.Now())
+	s.active.Complete(time.Now())
 	s.router.poison.RecordSuccess(s.in.content, time.Now())
-	if !s.begun || len(rest) > 0 {
-		if err := s.write(a, rest); err != nil {
-			return result{refused: clientLeft(err)}
+	if !s.headerWritten || len(rest) > 0 {
+		if err := s.writeBody(resp, rest); err != nil {
+			return attemptResult{refused: clientGone(err)}
 		}
 	}
-	return done
+	return succeeded
 }
 
-// forward passes an event on, unless the client has it from an earlier target.
-func (s *session) forward(a *Response, event []byte) error {
+// forwardEvent forwards an event, unless the client has already received it from an earlier
+// target.
+func (s *session) forwardEvent(resp *Response, event []byte) error {
 	id, ok := eventID(event)
-	if ok && s.hasEvent && id <= s.lastEvent {
+	if ok && s.hasLastEventID && id <= s.lastEventID {
 		return nil
 	}
 	if ok {
-		s.lastEvent, s.hasEvent = id, true
+		s.lastEventID, s.hasLastEventID = id, true
 	}
-	return s.write(a, event)
+	return s.writeBody(resp, event)
 }
 
-func (s *session) write(a *Response, p []byte) error {
-	if !s.begun {
-		s.begun, s.status = true, a.Status
-		a.ContentLength = -1
-		if err := s.reply.WriteHeader(a); err != nil {
+func (s *session) writeBody(resp *Response, p []byte) error {
+	if !s.headerWritten {
+		s.headerWritten, s.status = true, resp.Status
+		resp.ContentLength = -1
+		if err := s.writer.WriteHeader(resp); err != nil {
 			return err
 		}
 	}
-	return s.reply.Write(p)
+	return s.writer.Write(p)
 }
 
-// readEvent reads up to and with the empty line that ends an event. At the end
-// of the stream it returns what is left with io.EOF.
+// readEvent reads up to and including the empty line that ends an event. At the end of the
+// stream it returns the remaining bytes with io.EOF.
 func readEvent(in *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
 		line, err := in.ReadSlice('\n')
 		event = append(event, line...)
 		switch {
-		case err == bufio.ErrBufferFull && len(event) <= maxEvent:
+		case err == bufio.ErrBufferFull && len(event) <= maxEventBytes:
 			continue
 		case err == bufio.ErrBufferFull:
 			return nil, errEventTooLong
@@ -134,7 +136,7 @@
 
 var idField = []byte("id:")
 
-// eventID returns the id of an event, where it has a number for one.
+// eventID returns the ID of an event, if it has a numeric one.
 func eventID(event []byte) (int64, bool) {
 	for line := range bytes.Lines(event) {
 		if !bytes.HasPrefix(line, idField) {
