--- a/cmd/acaciakeel-entry/platform.go
+++ b/cmd/acaciakeel-entry/platform.go
@@ -28,7 +28,7 @@
 			&cli.StringSliceFlag{Name: "without", Usage: "switch the `MECHANISM` off; may be given more than once"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			settings, err := platform.LoadNode(platform.NodeFile())
+			settings, err := platform.LoadNodeSettings(platform.NodeSettingsPath())
 			if err != nil {
 				return err
 			}
@@ -76,7 +76,7 @@
 }
 
 func reread(log logrus.FieldLogger) {
-	_, err := platform.LoadNode(platform.NodeFile())
+	_, err := platform.LoadNodeSettings(platform.NodeSettingsPath())
 	if err != nil {
 		err = fmt.Errorf("the settings in force stay: %w", err)
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -134,7 +134,7 @@
 	var leaving atomic.Bool
 	server := link.NewServer(closing(s.Handler, &leaving))
 	server.BaseContext = func(net.Listener) context.Context { return serving }
-	d, err := door.Open(s.Listen, server, door.Watch{Log: s.Log})
+	d, err := door.Start(s.Listen, server, door.Telemetry{Log: s.Log})
 	if err != nil {
 		return fmt.Errorf("%w; check self.listen", err)
 	}
@@ -181,7 +181,7 @@
 	return r
 }
 
-func (s *Service) shutdown(d *door.Door, interrupt func(), signals <-chan os.Signal) {
+func (s *Service) shutdown(d *door.Server, interrupt func(), signals <-chan os.Signal) {
 	s.Log.WithField("event", "stopping").Info("planned stop")
 	ended := make(chan bool, 1)
 	go func() { ended <- s.end(d, interrupt) }()
@@ -198,10 +198,10 @@
 }
 
 // end stops in order and reports whether all requests ended within the limit.
-func (s *Service) end(d *door.Door, interrupt func()) bool {
+func (s *Service) end(d *door.Server, interrupt func()) bool {
 	answers := time.Now().Add(s.StopLimit)
 	ctx, cancel := context.WithDeadline(context.Background(), answers)
 	defer cancel()
 	s.Stop(ctx)
-	return d.End(door.Ending{Answers: answers, Interrupt: interrupt, End: answers.Add(lastAnswers)})
+	return d.Shutdown(door.ShutdownOptions{AnswerDeadline: answers, Interrupt: interrupt, Deadline: answers.Add(lastAnswers)})
 }
--- a/door/conns.go
+++ b/door/conns.go
@@ -12,7 +12,7 @@
 
 // conns are a door's open connections.
 type conns struct {
-	watch Watch
+	watch Telemetry
 
 	mu       sync.Mutex
 	open     map[*conn]struct{}
--- a/door/door.go
+++ b/door/door.go
@@ -22,16 +22,16 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Watch is where a door tells of itself.
-type Watch struct {
+// Telemetry is where a door tells of itself.
+type Telemetry struct {
 	Log logrus.FieldLogger
 	// Unanswered, where set, counts connections closed with a request read and
 	// nothing answered.
 	Unanswered prometheus.Counter
 }
 
-// Door is one address that is served.
-type Door struct {
+// Server is one address that is served.
+type Server struct {
 	server   *http.Server
 	listener *listener
 	conns    *conns
@@ -39,14 +39,14 @@
 	closed chan struct{}
 }
 
-// Open serves an address with a server, whose ConnState the door takes over.
-func Open(address string, server *http.Server, w Watch) (*Door, error) {
+// Start serves an address with a server, whose ConnState the door takes over.
+func Start(address string, server *http.Server, w Telemetry) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w; another process may hold the port", err)
 	}
 	s := &conns{watch: w, open: map[*conn]struct{}{}}
-	d := &Door{server: server, conns: s, closed: make(chan struct{}), listener: &listener{TCPListener: l.(*net.TCPListener), conns: s}}
+	d := &Server{server: server, conns: s, closed: make(chan struct{}), listener: &listener{TCPListener: l.(*net.TCPListener), conns: s}}
 	server.ConnState = s.note
 	go func() {
 		defer close(d.closed)
@@ -56,61 +56,61 @@
 }
 
 // Address returns IP:PORT.
-func (d *Door) Address() string {
+func (d *Server) Address() string {
 	return d.listener.Addr().String()
 }
 
 // Close ends the door at once.
-func (d *Door) Close() error {
+func (d *Server) Close() error {
 	return d.server.Close()
 }
 
-// Ending is how a door ends.
-type Ending struct {
-	// Answers is until when requests may take; then Interrupt is called, upon
+// ShutdownOptions is how a door ends.
+type ShutdownOptions struct {
+	// AnswerDeadline is until when requests may take; then Interrupt is called, upon
 	// which each request still served is to get its last answer.
-	Answers   time.Time
-	Interrupt func()
-	// End is when the door ends in any case.
-	End time.Time
+	AnswerDeadline time.Time
+	Interrupt      func()
+	// Deadline is when the door ends in any case.
+	Deadline time.Time
 }
 
 // look is the pause between two looks at the connections: short beside the time
 // that an idle one still gets.
 const look = 20 * time.Millisecond
 
-// End ends the door in order and reports whether all requests were answered in
+// Shutdown ends the door in order and reports whether all requests were answered in
 // their own time. New connections are refused from now on, which a balancer takes
 // for a word to try another process; what has come on open ones, or is on its
 // way on new ones, is served.
-func (d *Door) End(e Ending) bool {
+func (d *Server) Shutdown(e ShutdownOptions) bool {
 	d.listener.end()
 	<-d.closed
 	d.conns.end()
 	d.tell("door_closed", "no new connections are taken")
-	whole := d.await(e.Answers, func(t tally) bool { return t.open == t.framed })
+	whole := d.await(e.AnswerDeadline, func(t tally) bool { return t.open == t.framed })
 	if whole {
-		whole = d.endFramed(e.Answers)
+		whole = d.endFramed(e.AnswerDeadline)
 	}
 	if !whole {
 		d.tell("interrupted", "requests are given up: the time for answers is over")
 		e.Interrupt()
-		if d.await(e.End, func(t tally) bool { return t.open == t.framed }) {
-			d.endFramed(e.End)
+		if d.await(e.Deadline, func(t tally) bool { return t.open == t.framed }) {
+			d.endFramed(e.Deadline)
 		}
 	}
 	_ = d.server.Close()
 	return whole
 }
 
-func (d *Door) tell(event, what string) {
+func (d *Server) tell(event, what string) {
 	d.conns.watch.Log.WithFields(d.conns.tally().fields(event)).Info(what)
 }
 
 // endFramed ends the connections of HTTP/2, where the server tells the client
 // which requests it took. There must be no others: those the server would end
 // in the middle of a request.
-func (d *Door) endFramed(until time.Time) bool {
+func (d *Server) endFramed(until time.Time) bool {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	return d.server.Shutdown(ctx) == nil
@@ -118,7 +118,7 @@
 
 // await looks at the connections until they are as wanted or a time has come,
 // and reports whether they are.
-func (d *Door) await(until time.Time, wanted func(tally) bool) bool {
+func (d *Server) await(until time.Time, wanted func(tally) bool) bool {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	ticker := time.NewTicker(look)
--- a/door/door_test.go
+++ b/door/door_test.go
@@ -14,14 +14,14 @@
 	"github.com/sirupsen/logrus"
 )
 
-func serve(h http.HandlerFunc) (*Door, error) {
+func serve(h http.HandlerFunc) (*Server, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	server := &http.Server{Handler: h, IdleTimeout: time.Minute, ReadHeaderTimeout: time.Minute}
-	return Open("127.0.0.1:0", server, Watch{Log: log})
+	return Start("127.0.0.1:0", server, Telemetry{Log: log})
 }
 
-func open(t *testing.T, h http.HandlerFunc) *Door {
+func open(t *testing.T, h http.HandlerFunc) *Server {
 	t.Helper()
 	d, err := serve(h)
 	if err != nil {
@@ -35,16 +35,16 @@
 // machine too.
 const ample = 20 * time.Second
 
-func ending(interrupt func()) Ending {
+func ending(interrupt func()) ShutdownOptions {
 	now := time.Now()
-	return Ending{Answers: now.Add(ample), Interrupt: interrupt, End: now.Add(2 * ample)}
+	return ShutdownOptions{AnswerDeadline: now.Add(ample), Interrupt: interrupt, Deadline: now.Add(2 * ample)}
 }
 
 // wholeGet is a whole request.
 const wholeGet = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
 // ask opens a connection, which the test's end closes, and sends text on it.
-func ask(t *testing.T, d *Door, text string) net.Conn {
+func ask(t *testing.T, d *Server, text string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Address())
 	if err != nil {
@@ -79,7 +79,7 @@
 		conns = append(conns, ask(t, d, wholeGet))
 	}
 	ended := make(chan bool)
-	go func() { ended <- d.End(ending(func() {})) }()
+	go func() { ended <- d.Shutdown(ending(func() {})) }()
 	d.conns.mu.Unlock()
 	for i, c := range conns {
 		if status, err := answer(bufio.NewReader(c)); err != nil || status != http.StatusOK {
@@ -120,7 +120,7 @@
 		})
 	}
 	time.Sleep(300 * time.Millisecond)
-	if !d.End(ending(func() {})) {
+	if !d.Shutdown(ending(func() {})) {
 		t.Error("the end says that requests were given up")
 	}
 	clients.Wait()
@@ -145,8 +145,8 @@
 	c := ask(t, d, wholeGet)
 	<-begun
 	e := ending(interrupt)
-	e.Answers = time.Now()
-	if d.End(e) {
+	e.AnswerDeadline = time.Now()
+	if d.Shutdown(e) {
 		t.Error("the end says that all was answered in its own time")
 	}
 	if status, err := answer(bufio.NewReader(c)); err != nil || status != http.StatusBadGateway {
--- a/door/stall_test.go
+++ b/door/stall_test.go
@@ -81,7 +81,7 @@
 		_, _ = parent.ReadString('\n')
 		close(quit)
 	}()
-	go d.End(ending(func() {}))
+	go d.Shutdown(ending(func() {}))
 	time.Sleep(map[string]time.Duration{"queue": queueEmpty / 5, "idle": queueEmpty + idleEnd/2}[where])
 	_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
 	<-quit
@@ -207,7 +207,7 @@
 	ask(t, d, strings.Replace(wholeGet, "/", "/1", 1)+strings.Replace(wholeGet, "/", "/2", 1))
 	<-begun
 	ended := make(chan bool)
-	go func() { ended <- d.End(ending(func() {})) }()
+	go func() { ended <- d.Shutdown(ending(func() {})) }()
 	<-d.closed
 	for !d.conns.begunToEnd() {
 		time.Sleep(time.Millisecond)
--- a/internal/trial/site.go
+++ b/internal/trial/site.go
@@ -89,11 +89,11 @@
 func (s *site) startNode(i int, without policy.Disabled) (*node.Node, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	n := node.New(platform.Node{
+	n := node.New(platform.NodeSettings{
 		Name: fmt.Sprintf("n%d", i), IP: "127.0.0.1", Zone: "z1", Ports: []int{0},
 		Listen: platform.Listen{Front: "127.0.0.1:0", Ready: "127.0.0.1:0"},
 		Bounds: platform.Bounds{GraceS: 1, RevokeMS: 5000, VersionMS: 8000, LeaseMS: 3000, RetryRatio: 0.2, RetryExtra: 50, RetryWindowS: 10},
-		Store:  platform.StoreAt{Address: strings.TrimPrefix(s.server.URL, "http://"), MinLeaseMS: 1000},
+		Store:  platform.StoreConfig{Address: strings.TrimPrefix(s.server.URL, "http://"), MinLeaseMS: 1000},
 	}, node.Options{Disabled: without}, log)
 	if err := n.Start(); err != nil {
 		return nil, err
--- a/node/foreign.go
+++ b/node/foreign.go
@@ -50,15 +50,15 @@
 }
 
 // say logs and counts an entry that is left out, once a change of it.
-func (f *foreign) say(e platform.LeftOut) {
+func (f *foreign) say(e platform.RejectedEntry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if revision, ok := f.said[e.Key]; ok && revision == e.Revision {
 		return
 	}
 	f.said[e.Key] = e.Revision
-	f.count.WithLabelValues(string(e.Fault.Reason)).Inc()
-	f.log.WithError(e.Fault).WithFields(logrus.Fields{"event": "entry_left_out", "key": e.Key, "reason": e.Fault.Reason, "revision": e.Revision}).Warn("an entry of the store names nothing to use until it changes")
+	f.count.WithLabelValues(string(e.Err.Reason)).Inc()
+	f.log.WithError(e.Err).WithFields(logrus.Fields{"event": "entry_left_out", "key": e.Key, "reason": e.Err.Reason, "revision": e.Revision}).Warn("an entry of the store names nothing to use until it changes")
 }
 
 // release ends the waiting of a target's entry.
@@ -142,9 +142,9 @@
 }
 
 func (v *view) sayUnnamed(u unnamed) {
-	v.foreign.say(platform.LeftOut{
+	v.foreign.say(platform.RejectedEntry{
 		Key: platform.TargetKey(u.runner.ID), Revision: u.revision,
-		Fault: &platform.Fault{Reason: platform.UnknownService, Field: u.runner.Service},
+		Err: &platform.EntryError{Reason: platform.UnknownService, Field: u.runner.Service},
 	})
 }
 
@@ -152,7 +152,7 @@
 func (v *view) name(services map[string]*catalog.Service) {
 	usable, still := v.foreign.name(services)
 	for _, u := range usable {
-		v.Listed(u.runner, u.revision)
+		v.TargetSet(u.runner, u.revision)
 	}
 	for _, u := range still {
 		v.sayUnnamed(u)
@@ -168,9 +168,9 @@
 	v.fleet.Remove(id)
 }
 
-// LeftOut implements platform.View.
-func (v *view) LeftOut(e platform.LeftOut) {
-	if id, ok := platform.TargetOf(e.Key); ok {
+// EntryRejected implements platform.View.
+func (v *view) EntryRejected(e platform.RejectedEntry) {
+	if id, ok := platform.ParseTargetKey(e.Key); ok {
 		v.foreign.release(id)
 		v.end(id)
 	}
@@ -187,13 +187,13 @@
 // memberFault returns what is wrong with the entry of a member, or nil. One whose
 // address can't be read would be counted among those that share the work, and be
 // logged with each pulse.
-func (v *view) memberFault(key, value string) *platform.Fault {
+func (v *view) memberFault(key, value string) *platform.EntryError {
 	if !isName(strings.TrimPrefix(key, v.keys.members)) {
-		return &platform.Fault{Reason: platform.BadKey}
+		return &platform.EntryError{Reason: platform.BadKey}
 	}
 	at, err := netip.ParseAddrPort(readMember(key, value).Address)
 	if err != nil || at.Port() == 0 {
-		return &platform.Fault{Reason: platform.BadValue, Field: "address", Err: err}
+		return &platform.EntryError{Reason: platform.BadValue, Field: "address", Err: err}
 	}
 	return nil
 }
--- a/node/foreign_test.go
+++ b/node/foreign_test.go
@@ -209,7 +209,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		platform.NewFeed(w.node.view).Reset(listing.Entries, listing.Revision)
+		platform.NewDecoder(w.node.view).Reset(listing.Entries, listing.Revision)
 	}
 	if n := log.leftOut("servers/bad", "unreadable"); n != 1 {
 		t.Errorf("said %d times", n)
--- a/node/limits.go
+++ b/node/limits.go
@@ -80,7 +80,7 @@
 func (v *view) counted(value string, revision int64) {
 	n, err := strconv.ParseInt(value, 10, 64)
 	if value != "" && (err != nil || n < 1 || n > countMost) {
-		v.LeftOut(platform.LeftOut{Key: v.keys.count, Revision: revision, Fault: &platform.Fault{Reason: platform.BadValue}})
+		v.EntryRejected(platform.RejectedEntry{Key: v.keys.count, Revision: revision, Err: &platform.EntryError{Reason: platform.BadValue}})
 		return
 	}
 	v.foreign.forget(v.keys.count)
--- a/node/node.go
+++ b/node/node.go
@@ -32,13 +32,13 @@
 
 // Node is the process.
 type Node struct {
-	settings platform.Node
+	settings platform.NodeSettings
 	log      logrus.FieldLogger
 	registry *prometheus.Registry
 	view     *view
 	session  *lease.Session
 	store    *platform.Store
-	front    *platform.Front
+	front    *platform.Frontend
 	router   *router.Router
 	events   *fleet.CacheWatcher
 	pulse    *pulse
@@ -47,7 +47,7 @@
 	options  Options
 	limits   limitMetrics
 	notices  noticeMetrics
-	doors    struct{ front, ready, metrics *door.Door }
+	doors    struct{ front, ready, metrics *door.Server }
 	// cancel ends all the node does, endDuties what it does for others.
 	cancel    context.CancelFunc
 	endDuties context.CancelFunc
@@ -109,7 +109,7 @@
 )
 
 // New returns a node that has not begun.
-func New(s platform.Node, o Options, log logrus.FieldLogger) *Node {
+func New(s platform.NodeSettings, o Options, log logrus.FieldLogger) *Node {
 	n := &Node{
 		settings: s,
 		options:  o,
@@ -120,7 +120,7 @@
 		stopping: make(chan struct{}),
 	}
 	n.serving, n.interrupt = context.WithCancelCause(context.Background())
-	runners := platform.NewRunners()
+	runners := platform.NewRunnerClient()
 	targets := fleet.New(s.Zone)
 	targets.Disable(o.Disabled)
 	n.session = lease.NewSession(n.store, max(leaseTTL, time.Duration(s.Store.MinLeaseMS)*time.Millisecond), leaseMargin)
@@ -143,10 +143,10 @@
 		n.view.staleAfter = time.Duration(s.Bounds.RevokeMS)*time.Millisecond - staleMargin
 	}
 	n.view.oldWeights = time.Duration(s.Bounds.VersionMS)*time.Millisecond - oldWeightsMargin
-	n.view.verdicts = verdicts.NewKeeper(n.store, n.registry, log)
+	n.view.verdicts = verdicts.NewSyncer(n.store, n.registry, log)
 	n.view.seat = rollout.NewLeaderLock(n.store, n.session, n.view.keys.seat, n.name, time.Duration(s.Bounds.LeaseMS)*time.Millisecond, log)
 	n.pulse = newPulse(n.name, targets, n.view.verdicts.Table, n.view, log)
-	n.view.verdicts.Seat, n.view.verdicts.Soon = n.view.seat, n.pulse.soon
+	n.view.verdicts.Leadership, n.view.verdicts.PublishNow = n.view.seat, n.pulse.soon
 	n.pulse.digest.counted = telemetry.NewCounter(n.registry, "keel_node_digests_total", "Digests between groups of entries: told, passed_on, left_out.", "what")
 	n.view.holder = rollout.NewController(s.Name, rollout.Config{
 		Leadership: n.view.seat, Client: runners, Fleet: targets, Services: n.view.services, Notify: n.pulse.soon, Metrics: rollout.NewMetrics(n.registry),
@@ -156,7 +156,7 @@
 	targets.OnEnd(func(l fleet.Instance) { n.view.verdicts.Table.RecordCrash(l, time.Now()) })
 	watches := telemetry.NewCounter(n.registry, "keel_node_store_watches_total", "Watches of the platform's store, by reason.", "reason")
 	timing := follow.Options{WatchTimeout: watchWait, BatchDelay: gather, PeerTimeout: n.view.patience, OnWatch: func(r follow.Reason) { watches.WithLabelValues(string(r)).Inc() }}
-	n.view.follower = follow.New(n.store, platform.AllKeys, timing, platform.NewFeed(n.view), log)
+	n.view.follower = follow.New(n.store, platform.AllKeys, timing, platform.NewDecoder(n.view), log)
 	n.view.follower.OnChanges(n.pulse.watched)
 	n.registerGauges()
 	n.events = fleet.NewCacheWatcher(targets, runners)
@@ -167,7 +167,7 @@
 		Window: time.Duration(s.Bounds.RetryWindowS * float64(time.Second)),
 	}
 	n.router = router.New(n.view, targets, runners, n.view.verdicts.Table, n.view.limitBook, router.NewMetrics(n.registry), log, bounds, retries)
-	n.front = platform.NewFront(n.router, n.view.limits, platform.Watch{
+	n.front = platform.NewFrontend(n.router, n.view.limits, platform.Telemetry{
 		Log:    log,
 		Panics: telemetry.NewCounter(n.registry, "keel_node_panics_total", "Requests whose serving panicked.").WithLabelValues(),
 	})
@@ -240,20 +240,20 @@
 // openDoors opens the front last, when nothing else can fail: clients that came
 // before would lose their connections, and what they sent, with the process.
 func (n *Node) openDoors() error {
-	watch := door.Watch{
+	watch := door.Telemetry{
 		Log:        n.log,
 		Unanswered: telemetry.NewCounter(n.registry, "keel_node_connections_unanswered_total", "Connections closed with a request read and nothing answered.").WithLabelValues(),
 	}
 	var err error
-	if n.doors.metrics, err = door.Open(n.metricsAddress(), newServer(n.metricsHandler()), watch); err != nil {
+	if n.doors.metrics, err = door.Start(n.metricsAddress(), newServer(n.metricsHandler()), watch); err != nil {
 		return err
 	}
-	if n.doors.ready, err = door.Open(n.settings.Listen.Ready, newServer(http.HandlerFunc(n.serveReady)), watch); err != nil {
+	if n.doors.ready, err = door.Start(n.settings.Listen.Ready, newServer(http.HandlerFunc(n.serveReady)), watch); err != nil {
 		return err
 	}
 	front := newServer(n.front)
 	front.BaseContext = func(net.Listener) context.Context { return n.serving }
-	n.doors.front, err = door.Open(n.settings.Listen.Front, front, watch)
+	n.doors.front, err = door.Start(n.settings.Listen.Front, front, watch)
 	return err
 }
 
--- a/node/start_test.go
+++ b/node/start_test.go
@@ -25,15 +25,15 @@
 	}
 	t.Cleanup(func() { datagrams.Close() })
 	taken := stream.Addr().String()
-	for name, take := range map[string]func(*platform.Node, *Options){
-		"ready":   func(s *platform.Node, _ *Options) { s.Listen.Ready = taken },
-		"metrics": func(_ *platform.Node, o *Options) { o.MetricsPort = port(t, taken) },
-		"pulse":   func(s *platform.Node, _ *Options) { s.Ports = []int{port(t, datagrams.LocalAddr().String())} },
+	for name, take := range map[string]func(*platform.NodeSettings, *Options){
+		"ready":   func(s *platform.NodeSettings, _ *Options) { s.Listen.Ready = taken },
+		"metrics": func(_ *platform.NodeSettings, o *Options) { o.MetricsPort = port(t, taken) },
+		"pulse":   func(s *platform.NodeSettings, _ *Options) { s.Ports = []int{port(t, datagrams.LocalAddr().String())} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			settings := platform.Node{
+			settings := platform.NodeSettings{
 				Name: "n", IP: "127.0.0.1", Ports: []int{0}, Listen: platform.Listen{Front: "127.0.0.1:0", Ready: "127.0.0.1:0"},
-				Store: platform.StoreAt{Address: "127.0.0.1:1"},
+				Store: platform.StoreConfig{Address: "127.0.0.1:1"},
 			}
 			var options Options
 			take(&settings, &options)
--- a/node/stop.go
+++ b/node/stop.go
@@ -25,12 +25,12 @@
 )
 
 // ending returns the times of a stop that began at a moment, after the notice.
-func (n *Node) ending(begun time.Time) door.Ending {
+func (n *Node) ending(begun time.Time) door.ShutdownOptions {
 	end := begun.Add(n.settings.Bounds.Grace() - stopMargin)
-	return door.Ending{
-		Answers:   end.Add(-lastAnswers),
-		Interrupt: func() { n.interrupt(router.ErrShutdown) },
-		End:       end,
+	return door.ShutdownOptions{
+		AnswerDeadline: end.Add(-lastAnswers),
+		Interrupt:      func() { n.interrupt(router.ErrShutdown) },
+		Deadline:       end,
 	}
 }
 
@@ -38,26 +38,26 @@
 func (n *Node) Stop() {
 	defer n.cancel()
 	e := n.ending(time.Now())
-	notice := time.NewTimer(min(stopNotice, time.Until(e.Answers)))
+	notice := time.NewTimer(min(stopNotice, time.Until(e.AnswerDeadline)))
 	defer notice.Stop()
 	close(n.stopping)
-	n.front.Leave()
+	n.front.Drain()
 	n.log.WithField("event", "stopping").Info("planned stop")
-	go n.leaveOthers(e.End)
+	go n.leaveOthers(e.Deadline)
 	handedOver := make(chan struct{})
-	handOver := sync.OnceFunc(func() { n.handOver(e.End); close(handedOver) })
-	latest := time.AfterFunc(time.Until(e.Answers), handOver)
+	handOver := sync.OnceFunc(func() { n.handOver(e.Deadline); close(handedOver) })
+	latest := time.AfterFunc(time.Until(e.AnswerDeadline), handOver)
 	defer latest.Stop()
 	<-notice.C
-	n.router.SetShutdownDeadline(e.Answers)
-	if n.doors.front.End(e) {
+	n.router.SetShutdownDeadline(e.AnswerDeadline)
+	if n.doors.front.Shutdown(e) {
 		n.log.WithField("event", "stopped").Info("all requests ended")
 	} else {
 		n.log.WithField("event", "stop_cut").Warn("the grace ended before all requests did")
 	}
 	handOver()
 	<-handedOver
-	for _, d := range []*door.Door{n.doors.ready, n.doors.metrics} {
+	for _, d := range []*door.Server{n.doors.ready, n.doors.metrics} {
 		_ = d.Close()
 	}
 }
--- a/node/view.go
+++ b/node/view.go
@@ -30,7 +30,7 @@
 	follower *follow.Follower
 	seat     *rollout.LeaderLock
 	holder   *rollout.Controller
-	verdicts *verdicts.Keeper
+	verdicts *verdicts.Syncer
 	// staleAfter is the age beyond which keys are not believed.
 	staleAfter time.Duration
 	// oldWeights is for how long after newer ones were named older weights serve.
@@ -75,7 +75,7 @@
 }
 
 func ownKeysOf() ownKeys {
-	return ownKeys{seat: platform.OwnPrefix + "orders", members: platform.OwnPrefix + "members/", count: platform.OwnPrefix + "entries"}
+	return ownKeys{seat: platform.SystemPrefix + "orders", members: platform.SystemPrefix + "members/", count: platform.SystemPrefix + "entries"}
 }
 
 // Config implements router.Configuration.
@@ -103,9 +103,9 @@
 	return nil
 }
 
-// Configured implements platform.View. Versions never go back within the life
+// ConfigSet implements platform.View. Versions never go back within the life
 // of the process, whatever a read that is late may say.
-func (v *view) Configured(c *catalog.Config) {
+func (v *view) ConfigSet(c *catalog.Config) {
 	if old := v.config.Load(); old != nil && c.Version <= old.Version {
 		return
 	}
@@ -148,8 +148,8 @@
 	return earliest, false
 }
 
-// Named implements platform.View.
-func (v *view) Named(n platform.Naming) {
+// ModelSet implements platform.View.
+func (v *view) ModelSet(n platform.DesiredVersion) {
 	now := time.Now()
 	at, guessed := v.namedAt(n.Model, n.Listed, now)
 	if !v.fleet.RecordDesired(n.Model, n.Version, at, guessed) {
@@ -176,8 +176,8 @@
 	return oldest
 }
 
-// Listed implements platform.View.
-func (v *view) Listed(r fleet.Target, revision int64) {
+// TargetSet implements platform.View.
+func (v *view) TargetSet(r fleet.Target, revision int64) {
 	if !v.known(r, revision) {
 		return
 	}
@@ -202,10 +202,10 @@
 	v.verdicts.Table.RecordCrash(former, time.Now())
 }
 
-// Gone implements platform.View. Entries lapse while the store can't be
+// TargetRemoved implements platform.View. Entries lapse while the store can't be
 // written, so around an outage one that vanishes says nothing of its target,
 // whose own answers go on telling how it does.
-func (v *view) Gone(id string) {
+func (v *view) TargetRemoved(id string) {
 	v.foreign.release(id)
 	v.foreign.forget(platform.TargetKey(id))
 	since, back := v.follower.SinceRecovery()
@@ -240,21 +240,21 @@
 	}
 }
 
-// Relisted implements platform.View.
-func (v *view) Relisted(ids map[string]bool) {
+// TargetsListed implements platform.View.
+func (v *view) TargetsListed(ids map[string]bool) {
 	v.foreign.relisted(platform.TargetKey(""), func(key string) bool {
-		id, _ := platform.TargetOf(key)
+		id, _ := platform.ParseTargetKey(key)
 		return ids[id]
 	})
 	for _, id := range v.fleet.IDs() {
 		if !ids[id] {
-			v.Gone(id)
+			v.TargetRemoved(id)
 		}
 	}
 }
 
-// Own implements platform.View.
-func (v *view) Own(key, value string, revision int64) {
+// SystemKeySet implements platform.View.
+func (v *view) SystemKeySet(key, value string, revision int64) {
 	if key == v.keys.seat {
 		v.seated(value, revision)
 		return
@@ -263,7 +263,7 @@
 		v.counted(value, revision)
 		return
 	}
-	if content, ok, err := verdicts.ContentOf(key); ok {
+	if content, ok, err := verdicts.ParseKey(key); ok {
 		v.verdict(key, value, revision, content, err)
 		return
 	}
@@ -276,7 +276,7 @@
 		return
 	}
 	if fault := v.memberFault(key, value); fault != nil {
-		v.LeftOut(platform.LeftOut{Key: key, Revision: revision, Fault: fault})
+		v.EntryRejected(platform.RejectedEntry{Key: key, Revision: revision, Err: fault})
 		return
 	}
 	v.enlist(key, value)
@@ -286,14 +286,14 @@
 func (v *view) verdict(key, value string, revision int64, content poison.Fingerprint, err error) {
 	if err == nil && value == "" {
 		v.foreign.forget(key)
-		v.verdicts.Gone(content)
+		v.verdicts.MarkMissing(content)
 		return
 	}
 	if err == nil {
-		err = v.verdicts.Read(content, []byte(value), revision)
+		err = v.verdicts.ApplyStored(content, []byte(value), revision)
 	}
 	if err != nil {
-		v.LeftOut(platform.LeftOut{Key: key, Revision: revision, Fault: &platform.Fault{Reason: platform.BadValue, Err: err}})
+		v.EntryRejected(platform.RejectedEntry{Key: key, Revision: revision, Err: &platform.EntryError{Reason: platform.BadValue, Err: err}})
 		return
 	}
 	v.foreign.forget(key)
@@ -302,7 +302,7 @@
 // seated takes what the store says of the seat; an empty value is its end.
 func (v *view) seated(holder string, revision int64) {
 	if holder != "" && !isName(holder) {
-		v.LeftOut(platform.LeftOut{Key: v.keys.seat, Revision: revision, Fault: &platform.Fault{Reason: platform.BadValue}})
+		v.EntryRejected(platform.RejectedEntry{Key: v.keys.seat, Revision: revision, Err: &platform.EntryError{Reason: platform.BadValue}})
 		return
 	}
 	v.foreign.forget(v.keys.seat)
@@ -346,10 +346,10 @@
 	v.log.WithFields(logrus.Fields{"event": "grouped", "group": p.group, "groups": p.groups, "watches": p.watches}).Info("the entries are divided so")
 }
 
-// OwnRelisted implements platform.View.
-func (v *view) OwnRelisted(keys map[string]bool, revision int64) {
-	v.foreign.relisted(platform.OwnPrefix, func(key string) bool { return keys[key] })
-	v.verdicts.Relisted(keys)
+// SystemKeysListed implements platform.View.
+func (v *view) SystemKeysListed(keys map[string]bool, revision int64) {
+	v.foreign.relisted(platform.SystemPrefix, func(key string) bool { return keys[key] })
+	v.verdicts.Reconcile(keys)
 	if !keys[v.keys.seat] {
 		v.seat.Observe("", revision)
 	}
--- a/node/view_test.go
+++ b/node/view_test.go
@@ -44,7 +44,7 @@
 
 func (n *naming) Reset([]store.Entry, int64) {
 	n.listed++
-	n.view.Named(platform.Naming{Model: "m", Version: n.listed, Listed: true})
+	n.view.ModelSet(platform.DesiredVersion{Model: "m", Version: n.listed, Listed: true})
 	if n.listed == 2 {
 		close(n.done)
 	}
@@ -88,7 +88,7 @@
 // with older weights for as much longer, and began after the bound.
 func TestANamingCountsFromWhenItMayHaveBeenAcknowledged(t *testing.T) {
 	v, f := quietView()
-	v.Named(platform.Naming{Model: "m", Version: 2})
+	v.ModelSet(platform.DesiredVersion{Model: "m", Version: 2})
 	if behind := f.StaleFor("m", 1, time.Now()); behind < gather {
 		t.Errorf("weights that were heard of just now count as wanted for %v; the pause alone is %v", behind, gather)
 	}
--- a/node/world_test.go
+++ b/node/world_test.go
@@ -87,14 +87,14 @@
 // startNode starts a node and waits until it is ready.
 func (w *world) startNode(name string) *Node {
 	w.t.Helper()
-	settings := platform.Node{
+	settings := platform.NodeSettings{
 		Name: name, IP: "127.0.0.1", Zone: "z1", Ports: []int{0},
 		Listen: platform.Listen{Front: "127.0.0.1:0", Ready: "127.0.0.1:0"},
 		Bounds: platform.Bounds{
 			GraceS: w.graceS, RevokeMS: 5000, RevokeFailClosed: true, VersionMS: w.versionMS, LeaseMS: 3000,
 			RetryRatio: 0.2, RetryExtra: 50, RetryWindowS: 10,
 		},
-		Store: platform.StoreAt{Address: strings.TrimPrefix(w.kv.URL, "http://"), MinLeaseMS: 1000},
+		Store: platform.StoreConfig{Address: strings.TrimPrefix(w.kv.URL, "http://"), MinLeaseMS: 1000},
 	}
 	n := New(settings, Options{}, w.log)
 	if err := n.Start(); err != nil {
--- a/verdicts/entry.go
+++ b/verdicts/entry.go
@@ -14,8 +14,8 @@
 	return platform.VerdictPrefix + content.String()
 }
 
-// ContentOf returns the content that a verdict's key names; ok is false for other keys.
-func ContentOf(key string) (content poison.Fingerprint, ok bool, err error) {
+// ParseKey returns the content that a verdict's key names; ok is false for other keys.
+func ParseKey(key string) (content poison.Fingerprint, ok bool, err error) {
 	text, ok := strings.CutPrefix(key, platform.VerdictPrefix)
 	if !ok {
 		return content, false, nil
@@ -26,7 +26,7 @@
 
 // Decode reads the verdict of an entry below platform.VerdictPrefix.
 func Decode(e store.Entry, now time.Time) (poison.Verdict, error) {
-	content, _, err := ContentOf(e.Key)
+	content, _, err := ParseKey(e.Key)
 	if err != nil {
 		return poison.Verdict{}, err
 	}
--- a/verdicts/keeper.go
+++ b/verdicts/keeper.go
@@ -19,19 +19,19 @@
 	"acaciakeel/telemetry"
 )
 
-// Keeper keeps the verdicts of one process, and says in log and metrics what became of
+// Syncer keeps the verdicts of one process, and says in log and metrics what became of
 // them. Entries that start, also all at once, begin with what the store has; without it
 // each would let such a request end three more targets.
-type Keeper struct {
+type Syncer struct {
 	// Table is what the process holds against contents.
 	Table *poison.Table
-	// Seat says whether the process stands in for those that ended, and Soon has the
+	// Leadership says whether the process stands in for those that ended, and Soon has the
 	// other entries told at once. Both are set before the keeper is used.
-	Seat    rollout.Leadership
-	Soon    func()
-	store   store.Store
-	log     logrus.FieldLogger
-	counted *prometheus.CounterVec
+	Leadership rollout.Leadership
+	PublishNow func()
+	store      store.Store
+	log        logrus.FieldLogger
+	counted    *prometheus.CounterVec
 	// pauseUntil is until when the store is left alone after a call in vain; run alone
 	// uses it.
 	pauseUntil time.Time
@@ -63,9 +63,9 @@
 	restFor = time.Minute
 )
 
-// NewKeeper returns a keeper whose table is empty.
-func NewKeeper(s store.Store, r *prometheus.Registry, log logrus.FieldLogger) *Keeper {
-	k := &Keeper{store: s, log: log, stored: map[poison.Fingerprint]storedVerdict{}}
+// NewSyncer returns a keeper whose table is empty.
+func NewSyncer(s store.Store, r *prometheus.Registry, log logrus.FieldLogger) *Syncer {
+	k := &Syncer{store: s, log: log, stored: map[poison.Fingerprint]storedVerdict{}}
 	k.counted = telemetry.NewCounter(r, "keel_node_contents_total", "Contents of requests under which targets ended, by what became of them here.", "what")
 	k.Table = poison.New(k.changed)
 	return k
@@ -73,10 +73,10 @@
 
 // changed logs and counts a change. A suspicion that others told is not logged: whoever
 // saw the end does.
-func (k *Keeper) changed(c poison.Change) {
+func (k *Syncer) changed(c poison.Change) {
 	k.counted.WithLabelValues(string(c.Kind)).Inc()
 	if c.Origin == poison.OriginLocal && c.Crashes > 1 {
-		k.Soon()
+		k.PublishNow()
 	}
 	fields := logrus.Fields{
 		"event": "content_" + string(c.Kind), "content": c.Content.String(), "service": c.Service, "customer": c.Customer,
@@ -101,7 +101,7 @@
 }
 
 // Run writes verdicts until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Syncer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, lookEvery)
 		now := time.Now()
@@ -109,7 +109,7 @@
 		if now.Before(k.pauseUntil) {
 			continue
 		}
-		_, standsIn := k.Seat.Held()
+		_, standsIn := k.Leadership.Held()
 		for _, verdict := range k.Table.PendingWrites(standsIn, now) {
 			k.write(ctx, verdict)
 		}
@@ -119,7 +119,7 @@
 	}
 }
 
-func (k *Keeper) write(ctx context.Context, verdict poison.Verdict) {
+func (k *Syncer) write(ctx context.Context, verdict poison.Verdict) {
 	k.mu.Lock()
 	full := verdict.Revision == 0 && len(k.stored) >= storedMost
 	k.mu.Unlock()
@@ -147,10 +147,10 @@
 }
 
 // reread takes what another process has written of a content.
-func (k *Keeper) reread(ctx context.Context, content poison.Fingerprint) {
+func (k *Syncer) reread(ctx context.Context, content poison.Fingerprint) {
 	entry, err := k.store.Get(ctx, Key(content))
 	if errors.Is(err, store.ErrNotFound) {
-		k.Gone(content)
+		k.MarkMissing(content)
 		return
 	}
 	if err != nil {
@@ -158,13 +158,13 @@
 		k.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unread", "content": content.String()}).Warn("another process wrote the verdict, and it can't be read yet")
 		return
 	}
-	if err := k.Read(content, entry.Value, entry.Revision); err != nil {
+	if err := k.ApplyStored(content, entry.Value, entry.Revision); err != nil {
 		k.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unread", "content": content.String()}).Warn("another process wrote the verdict, and it can't be read")
 	}
 }
 
-// Read takes a verdict that the store has.
-func (k *Keeper) Read(content poison.Fingerprint, value []byte, revision int64) error {
+// ApplyStored takes a verdict that the store has.
+func (k *Syncer) ApplyStored(content poison.Fingerprint, value []byte, revision int64) error {
 	now := time.Now()
 	verdict, err := poison.DecodeVerdict(content, value, revision, now)
 	if err != nil {
@@ -181,17 +181,17 @@
 	return nil
 }
 
-// Gone takes that the store has a verdict no more. That lifts nothing: it lapses by its
+// MarkMissing takes that the store has a verdict no more. That lifts nothing: it lapses by its
 // own time, and the store may have lost it.
-func (k *Keeper) Gone(content poison.Fingerprint) {
+func (k *Syncer) MarkMissing(content poison.Fingerprint) {
 	k.mu.Lock()
 	delete(k.stored, content)
 	k.mu.Unlock()
 	k.Table.MarkMissing(content)
 }
 
-// Relisted takes the keys of the system's own that the store has.
-func (k *Keeper) Relisted(keys map[string]bool) {
+// Reconcile takes the keys of the system's own that the store has.
+func (k *Syncer) Reconcile(keys map[string]bool) {
 	k.mu.Lock()
 	var gone []poison.Fingerprint
 	for content := range k.stored {
@@ -201,12 +201,12 @@
 	}
 	k.mu.Unlock()
 	for _, content := range gone {
-		k.Gone(content)
+		k.MarkMissing(content)
 	}
 }
 
 // clean removes verdicts that ended a while ago.
-func (k *Keeper) clean(ctx context.Context, now time.Time) {
+func (k *Syncer) clean(ctx context.Context, now time.Time) {
 	k.mu.Lock()
 	old := map[poison.Fingerprint]int64{}
 	for content, s := range k.stored {
@@ -220,7 +220,7 @@
 	}
 }
 
-func (k *Keeper) remove(ctx context.Context, content poison.Fingerprint, revision int64) {
+func (k *Syncer) remove(ctx context.Context, content poison.Fingerprint, revision int64) {
 	ctx, cancel := context.WithTimeout(ctx, callMost)
 	defer cancel()
 	_, err := k.store.Delete(ctx, Key(content), revision)
@@ -229,5 +229,5 @@
 		k.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unwritten", "content": content.String()}).Warn("the store did not remove an old verdict yet")
 		return
 	}
-	k.Gone(content)
+	k.MarkMissing(content)
 }
