--- a/agent/call.go
+++ b/agent/call.go
@@ -152,7 +152,7 @@
 		return c.join(ctx, key, record, true)
 	case ledger.Replay:
 		return c.answered(record.Answer, true)
-	case ledger.RefuseReused:
+	case ledger.RefuseKeyReused:
 		return c.refuse(refusal.New(refusal.KeyReused, "use a new Idempotency-Key for a new call", "this Idempotency-Key came with another call before"))
 	case ledger.RefuseAbandoned:
 		return c.refuse(refusal.New(refusal.AttemptAbandoned, "send the call again", "this attempt was given up as not run"))
@@ -208,7 +208,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.ledger.Lost(key, time.Now())
+		c.ledger.MarkUnknown(key, time.Now())
 		return
 	}
 	c.ledger.Finish(key, ledger.Answer(answer), time.Now())
@@ -225,16 +225,16 @@
 func (c *caller) notSent(key ledger.Key, record *ledger.Record, r *refusal.Error, holder claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	record.Refused = refused{refusal: r, holder: holder}
+	record.Refusal = refused{refusal: r, holder: holder}
 	if r.Outcome == refusal.NotRun {
-		c.ledger.Withdraw(key, time.Now())
+		c.ledger.MarkNotRun(key, time.Now())
 		return
 	}
-	c.ledger.Doubt(key, time.Now())
+	c.ledger.MarkUnsent(key, time.Now())
 }
 
 func (c *caller) notRun(record *ledger.Record) *keelv1.CallResponse {
-	r, ok := record.Refused.(refused)
+	r, ok := record.Refusal.(refused)
 	if !ok {
 		return c.refuse(refusal.NewUnknown("the call was withdrawn and begun again"))
 	}
@@ -268,7 +268,7 @@
 			return
 		}
 		c.mu.Lock()
-		c.ledger.Claimed(key)
+		c.ledger.MarkClaimed(key)
 		c.mu.Unlock()
 	}
 }
--- a/agent/feed.go
+++ b/agent/feed.go
@@ -58,7 +58,7 @@
 			return
 		}
 		r.metrics.engineResumes.Inc()
-		s, err = r.engine.Resume(j.ctx, j.id, j.buffer.End())
+		s, err = r.engine.Resume(j.ctx, j.id, j.buffer.EndOffset())
 		if err != nil {
 			r.end(j, stream.Finish{Err: brokenRefusal(err)}, time.Now())
 			return
@@ -92,12 +92,12 @@
 		if c.FinishReason != "" {
 			return finishOf(c), nil
 		}
-		if c.Offset < j.buffer.End() {
+		if c.Offset < j.buffer.EndOffset() {
 			r.metrics.duplicates.Inc()
 			continue
 		}
 		if !j.buffer.Append(c.Offset, c.Text) {
-			return stream.Finish{}, fmt.Errorf("the engine skipped from token %d to %d", j.buffer.End(), c.Offset)
+			return stream.Finish{}, fmt.Errorf("the engine skipped from token %d to %d", j.buffer.EndOffset(), c.Offset)
 		}
 		if c.Offset == 0 {
 			r.firstToken(j, time.Now())
--- a/agent/generate.go
+++ b/agent/generate.go
@@ -56,14 +56,14 @@
 func (a *Agent) sendEvents(ctx context.Context, j *job, offset int, out *connect.ServerStream[keelv1.GenerateResponse]) error {
 	a.runner.attach(j)
 	defer func() { a.runner.detach(j, time.Now()) }()
-	if !j.buffer.Holds(offset) {
+	if !j.buffer.CanReadFrom(offset) {
 		return a.sendRefusal(out, lostRefusal())
 	}
 	interval := settings.Millis(a.settings.Stream.HeartbeatMS)
 	heartbeat := time.NewTimer(interval)
 	defer heartbeat.Stop()
 	for {
-		tokens, finish, changed := j.buffer.From(offset)
+		tokens, finish, changed := j.buffer.TokensFrom(offset)
 		if err := sendTokens(out, tokens, offset); err != nil {
 			return err
 		}
--- a/agent/permit.go
+++ b/agent/permit.go
@@ -19,9 +19,9 @@
 		c.setUnrepeatable(record)
 		return 0, claim{}, nil
 	}
-	made, carriesTime := ledger.Made(key.IdempotencyKey)
+	made, carriesTime := ledger.KeyTime(key.IdempotencyKey)
 	home, since := c.home(key)
-	provable := carriesTime && home && c.freshness(since).Provable(made, time.Now())
+	provable := carriesTime && home && c.freshness(since).ProvesNew(made, time.Now())
 	if carriesTime && !home {
 		return 0, claim{}, notHome()
 	}
@@ -51,7 +51,7 @@
 	if c.started.After(since) {
 		since = c.started
 	}
-	return ledger.Freshness{Since: since, Margin: c.margin}
+	return ledger.Freshness{StartTime: since, ClockMargin: c.margin}
 }
 
 func notHome() *refusal.Error {
@@ -67,7 +67,7 @@
 	r := refusal.New(refusal.PlatformDown,
 		"come back after the time in Retry-After with the same key, or use UUIDv7 keys, which are served during an outage",
 		"the platform's service is down and the key can't be proved new").WithRetryAfter(platformRetry)
-	if !home || time.Since(c.freshness(since).Since) < repeatWindow {
+	if !home || time.Since(c.freshness(since).StartTime) < repeatWindow {
 		r.Outcome = refusal.Unknown
 	}
 	return r
@@ -88,7 +88,7 @@
 func (c *caller) setUnrepeatable(record *ledger.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	record.Unrepeatable = true
+	record.GeneratedKey = true
 }
 
 func (c *caller) releaseClaim(ctx context.Context, key ledger.Key, record *ledger.Record, revision int64) {
--- a/agent/settings.go
+++ b/agent/settings.go
@@ -158,10 +158,10 @@
 
 func (l LedgerSettings) limits() ledger.Limits {
 	return ledger.Limits{
-		Records:    l.Records,
-		Bytes:      l.Bytes,
-		Retention:  seconds(l.RetentionS),
-		Tombstones: tombstones,
+		MaxRecords:         l.Records,
+		MaxAnswerBytes:     l.Bytes,
+		Retention:          seconds(l.RetentionS),
+		TombstoneRetention: tombstones,
 	}
 }
 
--- a/configsync/neighbour.go
+++ b/configsync/neighbour.go
@@ -25,7 +25,7 @@
 		WaitMs:        uint32(wait.Milliseconds()),
 	}))
 	if err != nil {
-		peer.Renew(clients)
+		peer.Reconnect(clients)
 		return fmt.Errorf("fetch from neighbour %s: %w", url, err)
 	}
 	if len(answer.Msg.State) == 0 {
--- a/contract/limiter.go
+++ b/contract/limiter.go
@@ -42,23 +42,23 @@
 // burst is how long a customer may save its rate up.
 const burst = time.Second
 
-// Account is one customer's use at one entry. It is not safe for concurrent use.
-type Account struct {
+// Limiter is one customer's use at one entry. It is not safe for concurrent use.
+type Limiter struct {
 	limits   Limits
 	requests *rate.Limiter
 	tokens   *rate.Limiter
 	streams  int
 }
 
-// NewAccount returns an account under the given share of limits.
-func NewAccount(l Limits) *Account {
-	a := &Account{requests: rate.NewLimiter(rate.Inf, 0), tokens: rate.NewLimiter(rate.Inf, 0)}
+// NewLimiter returns an account under the given share of limits.
+func NewLimiter(l Limits) *Limiter {
+	a := &Limiter{requests: rate.NewLimiter(rate.Inf, 0), tokens: rate.NewLimiter(rate.Inf, 0)}
 	a.SetLimits(l, time.Time{})
 	return a
 }
 
 // SetLimits changes the limits; use so far counts on.
-func (a *Account) SetLimits(l Limits, now time.Time) {
+func (a *Limiter) SetLimits(l Limits, now time.Time) {
 	if l == a.limits && !now.IsZero() {
 		return
 	}
@@ -76,9 +76,9 @@
 	limiter.SetBurstAt(now, max(1, int(perSecond*burst.Seconds())))
 }
 
-// Begin takes one request of tokens in, or says which limit it met and when
+// Acquire takes one request of tokens in, or says which limit it met and when
 // to come back. After None, End must follow.
-func (a *Account) Begin(tokens int, now time.Time) (Exceeded, time.Duration) {
+func (a *Limiter) Acquire(tokens int, now time.Time) (Exceeded, time.Duration) {
 	if a.limits.Streams > 0 && a.streams >= a.limits.Streams {
 		return Streams, burst
 	}
@@ -116,12 +116,12 @@
 	}
 }
 
-// Used charges tokens that became known after Begin, such as those generated.
-func (a *Account) Used(tokens int, now time.Time) {
+// Charge charges tokens that became known after Begin, such as those generated.
+func (a *Limiter) Charge(tokens int, now time.Time) {
 	take(a.tokens, tokens, now)
 }
 
-// End ends one request that Begin took in.
-func (a *Account) End() {
+// Release ends one request that Begin took in.
+func (a *Limiter) Release() {
 	a.streams--
 }
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -119,7 +119,7 @@
 		RequestId:  a.request.RequestId,
 		Attempt:    a.number,
 		Customer:   a.request.Customer,
-		Offset:     uint32(a.session.assembler.Resume()),
+		Offset:     uint32(a.session.assembler.AttemptOffset()),
 		AttachOnly: true,
 	}
 }
@@ -177,7 +177,7 @@
 		err = errEnded
 	}
 	if !errors.Is(err, context.Canceled) {
-		peer.Renew(clients)
+		peer.Reconnect(clients)
 		a.entry.opinions.failed(a.target.name)
 	}
 	r := refusal.New(refusal.TargetFailed, "send the request again", "the connection to the agent of %s was lost: %v", a.target.name, err)
--- a/entry/call.go
+++ b/entry/call.go
@@ -126,7 +126,7 @@
 // that carries its time can run there without a claim while the platform's
 // service is down, and no other agent could then know of it.
 func (p *pendingCall) boundToHome() bool {
-	_, carriesTime := ledger.Made(p.request.IdempotencyKey)
+	_, carriesTime := ledger.KeyTime(p.request.IdempotencyKey)
 	return carriesTime && !p.request.FreshKey && !p.request.Idempotent
 }
 
@@ -251,7 +251,7 @@
 		// the call.
 		return nil, ending
 	}
-	peer.Renew(clients)
+	peer.Reconnect(clients)
 	e.opinions.failed(name)
 	if isDial(err) {
 		return nil, p.unreached(name, err)
@@ -280,7 +280,7 @@
 		clients := peer.Clients()
 		outcome, err := p.askOutcome(ctx, clients.Agent.Abandon)
 		if err != nil {
-			peer.Renew(clients)
+			peer.Reconnect(clients)
 			continue
 		}
 		p.entry.metrics.retries.WithLabelValues(string(retry.Resumed)).Inc()
--- a/entry/choose.go
+++ b/entry/choose.go
@@ -229,7 +229,7 @@
 	if err != nil {
 		e.metrics.askFailures.Inc()
 		e.opinions.failed(r.Name)
-		peer.Renew(clients)
+		peer.Reconnect(clients)
 		return placement.Estimate{}
 	}
 	e.opinions.succeeded(r.Name)
--- a/entry/contracts.go
+++ b/entry/contracts.go
@@ -12,12 +12,12 @@
 // contracts holds each customer's account at this entry.
 type contracts struct {
 	mu       sync.Mutex
-	accounts map[string]*contract.Account
+	accounts map[string]*contract.Limiter
 	entries  int
 }
 
 func newContracts() *contracts {
-	return &contracts{accounts: map[string]*contract.Account{}, entries: 1}
+	return &contracts{accounts: map[string]*contract.Limiter{}, entries: 1}
 }
 
 // setEntries tells how many entries share the limits.
@@ -27,7 +27,7 @@
 	c.entries = max(1, n)
 }
 
-func (c *contracts) account(name string, spec resource.Customer, now time.Time) *contract.Account {
+func (c *contracts) account(name string, spec resource.Customer, now time.Time) *contract.Limiter {
 	limits := contract.Limits{
 		RequestsPerSecond: spec.RequestsPerSecond,
 		TokensPerSecond:   spec.TokensPerSecond,
@@ -35,7 +35,7 @@
 	}.Share(c.entries)
 	a := c.accounts[name]
 	if a == nil {
-		a = contract.NewAccount(limits)
+		a = contract.NewLimiter(limits)
 		c.accounts[name] = a
 	}
 	a.SetLimits(limits, now)
@@ -47,7 +47,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	exceeded, after := c.account(name, spec, now).Begin(tokens, now)
+	exceeded, after := c.account(name, spec, now).Acquire(tokens, now)
 	if exceeded == contract.None {
 		return nil
 	}
@@ -63,6 +63,6 @@
 	if a == nil {
 		return
 	}
-	a.Used(tokens, time.Now())
-	a.End()
+	a.Charge(tokens, time.Now())
+	a.Release()
 }
--- a/entry/incarnation.go
+++ b/entry/incarnation.go
@@ -44,7 +44,7 @@
 	clients := peer.Clients()
 	response, err := clients.Agent.Abandon(ctx, connect.NewRequest(&keelv1.AbandonRequest{}))
 	if err != nil {
-		peer.Renew(clients)
+		peer.Reconnect(clients)
 		e.opinions.failed(target)
 		return "", fmt.Errorf("ask for the agent's incarnation: %w", err)
 	}
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -53,7 +53,7 @@
 	p.requestID = point.requestID
 	s := &session{entry: e, plan: p, attempt: point.attempt, events: make(chan event, eventBuffer)}
 	s.target = chosen{name: point.target, url: url}
-	s.assembler.ResumeAt(point.attempt, point.base, point.offset+1)
+	s.assembler.Restore(point.attempt, point.base, point.offset+1)
 	a := &attempt{entry: e, session: s, number: point.attempt, target: s.target}
 	a.request = &keelv1.GenerateRequest{RequestId: p.requestID, Customer: p.customer}
 	a.request = a.reattach()
--- a/entry/session.go
+++ b/entry/session.go
@@ -199,17 +199,17 @@
 	s.attempt++
 	s.sends++
 	s.tried = append(s.tried, target.name)
-	s.assembler.Begin(s.attempt)
+	s.assembler.StartAttempt(s.attempt)
 	return s.entry.newAttempt(s, prompt.Text, chain, salt).run(ctx)
 }
 
 // take passes one token on, once and in order, and reports whether the
 // connection that it came over is still to be believed.
 func (s *session) take(ctx context.Context, attempt uint32, t *keelv1.Token) bool {
-	verdict := s.assembler.Take(attempt, int(t.Offset))
+	verdict := s.assembler.Accept(attempt, int(t.Offset))
 	switch verdict {
 	case stream.Next:
-	case stream.Ahead:
+	case stream.Gap:
 		s.entry.metrics.streamEvents.WithLabelValues(string(verdict)).Inc()
 		return false
 	default:
@@ -227,7 +227,7 @@
 		requestID: s.plan.requestID,
 		attempt:   s.attempt,
 		target:    s.target.name,
-		base:      s.assembler.Offset() - s.assembler.Resume(),
+		base:      s.assembler.Offset() - s.assembler.AttemptOffset(),
 		offset:    offset,
 	}.String()
 }
--- a/internal/load/micro.go
+++ b/internal/load/micro.go
@@ -153,7 +153,7 @@
 	s := &Slope{Name: "ledger_memory", Size: "calls kept", Cost: "bytes"}
 	for _, n := range []int{1000, 5000, 20000} {
 		s.Add(float64(n), memoryOf(func() any {
-			l := ledger.New(ledger.Limits{Records: n + 1, Bytes: 1 << 30, Retention: time.Hour, Tombstones: time.Hour})
+			l := ledger.New(ledger.Limits{MaxRecords: n + 1, MaxAnswerBytes: 1 << 30, Retention: time.Hour, TombstoneRetention: time.Hour})
 			for i := range n {
 				key := ledger.Key{Customer: "customer", Service: "cart", IdempotencyKey: fmt.Sprintf("key-%026d", i)}
 				l.Begin(key, ledger.Attempt{RequestID: "r"}, 1, time.Unix(1, 0))
--- a/ledger/fresh.go
+++ b/ledger/fresh.go
@@ -6,8 +6,8 @@
 	"github.com/google/uuid"
 )
 
-// Made returns when a key was made, if it carries that: a UUIDv7 does.
-func Made(key string) (time.Time, bool) {
+// KeyTime returns when a key was made, if it carries that: a UUIDv7 does.
+func KeyTime(key string) (time.Time, bool) {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
 		return time.Time{}, false
@@ -20,16 +20,16 @@
 // incarnation of its home agent began, so that its call needs no claim in the
 // platform's service. This serves holds while that service is down.
 type Freshness struct {
-	// Since is when this incarnation began to listen, or when the targets
+	// StartTime is when this incarnation began to listen, or when the targets
 	// among which homes are chosen last changed, if that was later.
-	Since time.Time
-	// Margin bounds the difference of two machines' clocks, both ways, and
+	StartTime time.Time
+	// ClockMargin bounds the difference of two machines' clocks, both ways, and
 	// the time until a change of the targets is in force everywhere.
-	Margin time.Duration
+	ClockMargin time.Duration
 }
 
-// Provable reports whether a key made at the given time is new to all
+// ProvesNew reports whether a key made at the given time is new to all
 // processes but this one. A key from the future is not believed.
-func (f Freshness) Provable(made, now time.Time) bool {
-	return made.After(f.Since.Add(f.Margin)) && !made.After(now.Add(f.Margin))
+func (f Freshness) ProvesNew(made, now time.Time) bool {
+	return made.After(f.StartTime.Add(f.ClockMargin)) && !made.After(now.Add(f.ClockMargin))
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -46,37 +46,37 @@
 	Unknown State = "unknown"
 )
 
-// Verdict is what an attempt has to do.
-type Verdict string
+// Decision is what an attempt has to do.
+type Decision string
 
 // The verdicts on an attempt.
 const (
 	// Run: this attempt is the one that sends.
-	Run Verdict = "run"
+	Run Decision = "run"
 	// Join: an earlier attempt runs; wait for its end.
-	Join Verdict = "join"
+	Join Decision = "join"
 	// Replay: the answer is known; give it again.
-	Replay Verdict = "replay"
+	Replay Decision = "replay"
 	// RefuseUnknown: the outcome can't be known; never send.
-	RefuseUnknown Verdict = "unknown"
-	// RefuseReused: the key came with another body before.
-	RefuseReused Verdict = "key_reused"
+	RefuseUnknown Decision = "unknown"
+	// RefuseKeyReused: the key came with another body before.
+	RefuseKeyReused Decision = "key_reused"
 	// RefuseAbandoned: the entry was told "not run" of this very attempt.
-	RefuseAbandoned Verdict = "abandoned"
+	RefuseAbandoned Decision = "abandoned"
 	// RefuseFull: the ledger has no room; nothing ran.
-	RefuseFull Verdict = "full"
+	RefuseFull Decision = "full"
 )
 
 // Limits bound the ledger's memory.
 type Limits struct {
-	// Records is the most calls kept; Bytes the most answer bytes.
-	Records int
-	Bytes   int
+	// MaxRecords is the most calls kept; Bytes the most answer bytes.
+	MaxRecords     int
+	MaxAnswerBytes int
 	// Retention is how long a finished call is kept. Claims outlive it.
 	Retention time.Duration
-	// Tombstones is how long an abandoned attempt is remembered: longer than
+	// TombstoneRetention is how long an abandoned attempt is remembered: longer than
 	// any copy of it can stay in a connection.
-	Tombstones time.Duration
+	TombstoneRetention time.Duration
 }
 
 // Record is one call.
@@ -87,11 +87,11 @@
 	// Claimed: the platform holds a claim that outlives this process, so the
 	// record may be forgotten without a second send becoming possible.
 	Claimed bool
-	// Unrepeatable: no caller has the key, so the record serves only the
+	// GeneratedKey: no caller has the key, so the record serves only the
 	// entry that made it and may be forgotten like a claimed one.
-	Unrepeatable bool
-	// Refused is what a withdrawn call was refused with, for those that joined it.
-	Refused any
+	GeneratedKey bool
+	// Refusal is what a withdrawn call was refused with, for those that joined it.
+	Refusal any
 	// Done closes when the call leaves Running.
 	Done  chan struct{}
 	ended time.Time
@@ -112,7 +112,7 @@
 
 // Begin says what an attempt at a call has to do. After Run the caller must
 // end the call with Finish, Lost, Withdraw or Doubt.
-func (l *Ledger) Begin(key Key, attempt Attempt, bodyHash uint64, now time.Time) (Verdict, *Record) {
+func (l *Ledger) Begin(key Key, attempt Attempt, bodyHash uint64, now time.Time) (Decision, *Record) {
 	if _, gone := l.tombstones[attempt]; gone {
 		return RefuseAbandoned, nil
 	}
@@ -121,7 +121,7 @@
 		return l.begin(key, bodyHash, now)
 	}
 	if r.BodyHash != bodyHash {
-		return RefuseReused, nil
+		return RefuseKeyReused, nil
 	}
 	switch r.State {
 	case Running:
@@ -136,12 +136,12 @@
 	return Run, r
 }
 
-func (l *Ledger) begin(key Key, bodyHash uint64, now time.Time) (Verdict, *Record) {
-	if len(l.records) >= l.limits.Records || l.bytes >= l.limits.Bytes {
+func (l *Ledger) begin(key Key, bodyHash uint64, now time.Time) (Decision, *Record) {
+	if len(l.records) >= l.limits.MaxRecords || l.bytes >= l.limits.MaxAnswerBytes {
 		l.Expire(now)
 		l.evict()
 	}
-	if len(l.records) >= l.limits.Records || l.bytes >= l.limits.Bytes {
+	if len(l.records) >= l.limits.MaxRecords || l.bytes >= l.limits.MaxAnswerBytes {
 		return RefuseFull, nil
 	}
 	r := &Record{State: Running, BodyHash: bodyHash, Done: make(chan struct{})}
@@ -151,7 +151,7 @@
 
 // mayForget reports whether a call can't run again once its record is gone.
 func (r *Record) mayForget() bool {
-	return r.Claimed || r.Unrepeatable || r.State == NotRun || r.State == Unsent
+	return r.Claimed || r.GeneratedKey || r.State == NotRun || r.State == Unsent
 }
 
 // Unclaimed returns the ended calls that ran without a claim. They are kept
@@ -166,8 +166,8 @@
 	return keys
 }
 
-// Claimed records that the platform now holds a claim of the call.
-func (l *Ledger) Claimed(key Key) {
+// MarkClaimed records that the platform now holds a claim of the call.
+func (l *Ledger) MarkClaimed(key Key) {
 	if r := l.records[key]; r != nil {
 		r.Claimed = true
 	}
@@ -180,7 +180,7 @@
 		if r.mayForget() && r.State != Running {
 			l.forget(key, r)
 		}
-		if len(l.records) < l.limits.Records*3/4 && l.bytes < l.limits.Bytes*3/4 {
+		if len(l.records) < l.limits.MaxRecords*3/4 && l.bytes < l.limits.MaxAnswerBytes*3/4 {
 			return
 		}
 	}
@@ -212,19 +212,19 @@
 	l.end(key, Done, now)
 }
 
-// Lost records that the call was sent and its answer lost.
-func (l *Ledger) Lost(key Key, now time.Time) {
+// MarkUnknown records that the call was sent and its answer lost.
+func (l *Ledger) MarkUnknown(key Key, now time.Time) {
 	l.end(key, Unknown, now)
 }
 
-// Withdraw records that the call did not run, and that this attempt will not
+// MarkNotRun records that the call did not run, and that this attempt will not
 // run it.
-func (l *Ledger) Withdraw(key Key, now time.Time) {
+func (l *Ledger) MarkNotRun(key Key, now time.Time) {
 	l.end(key, NotRun, now)
 }
 
-// Doubt records that this process did not send the call, but another may have.
-func (l *Ledger) Doubt(key Key, now time.Time) {
+// MarkUnsent records that this process did not send the call, but another may have.
+func (l *Ledger) MarkUnsent(key Key, now time.Time) {
 	l.end(key, Unsent, now)
 }
 
@@ -250,7 +250,7 @@
 		}
 	}
 	for attempt, at := range l.tombstones {
-		if now.Sub(at) > l.limits.Tombstones {
+		if now.Sub(at) > l.limits.TombstoneRetention {
 			delete(l.tombstones, attempt)
 		}
 	}
@@ -259,5 +259,5 @@
 // Len returns how many calls are kept, and Bytes the answer bytes.
 func (l *Ledger) Len() int { return len(l.records) }
 
-// Bytes returns the bytes of the answers kept.
-func (l *Ledger) Bytes() int { return l.bytes }
+// AnswerBytes returns the bytes of the answers kept.
+func (l *Ledger) AnswerBytes() int { return l.bytes }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -12,7 +12,7 @@
 var (
 	begin  = time.Unix(1000, 0)
 	key    = Key{Customer: "a", Service: "cart", IdempotencyKey: "k"}
-	limits = Limits{Records: 4, Bytes: 100, Retention: time.Minute, Tombstones: time.Minute}
+	limits = Limits{MaxRecords: 4, MaxAnswerBytes: 100, Retention: time.Minute, TombstoneRetention: time.Minute}
 )
 
 // A buyer whose shop client repeats a hold must find one box sold once. The
@@ -50,11 +50,11 @@
 				if running {
 					sends++
 					running = false
-					l.Lost(key, now)
+					l.MarkUnknown(key, now)
 				}
 			case 5:
 				running = false
-				l.Withdraw(key, now)
+				l.MarkNotRun(key, now)
 			case 6:
 				if l.Abandon(key, attempt, now) == NotRun {
 					told[attempt] = true
@@ -70,7 +70,7 @@
 func TestVerdicts(t *testing.T) {
 	l := New(limits)
 	first, second := Attempt{"r1", 0}, Attempt{"r2", 0}
-	expect := func(want Verdict, attempt Attempt, body uint64) {
+	expect := func(want Decision, attempt Attempt, body uint64) {
 		t.Helper()
 		if got, _ := l.Begin(key, attempt, body, begin); got != want {
 			t.Errorf("verdict %s, want %s", got, want)
@@ -78,7 +78,7 @@
 	}
 	expect(Run, first, 1)
 	expect(Join, second, 1)
-	expect(RefuseReused, second, 2)
+	expect(RefuseKeyReused, second, 2)
 	l.Finish(key, Answer{Status: 200}, begin)
 	expect(Replay, second, 1)
 	if got := l.Abandon(key, first, begin); got != Done {
@@ -97,7 +97,7 @@
 // truthfully as not run, rather than forget one that nothing else knows of.
 func TestBound(t *testing.T) {
 	l := New(limits)
-	for i := range limits.Records {
+	for i := range limits.MaxRecords {
 		k := Key{IdempotencyKey: fmt.Sprint(i)}
 		_, r := l.Begin(k, Attempt{}, 1, begin)
 		r.Claimed = i == 0
@@ -110,13 +110,13 @@
 		t.Fatalf("verdict %s, want full", got)
 	}
 	l.Expire(begin.Add(time.Hour))
-	if got := len(l.Unclaimed()); got != limits.Records-1 {
-		t.Errorf("%d unclaimed calls kept, want %d whatever their age", got, limits.Records-1)
+	if got := len(l.Unclaimed()); got != limits.MaxRecords-1 {
+		t.Errorf("%d unclaimed calls kept, want %d whatever their age", got, limits.MaxRecords-1)
 	}
 }
 
 func TestFreshness(t *testing.T) {
-	f := Freshness{Since: begin, Margin: 2 * time.Second}
+	f := Freshness{StartTime: begin, ClockMargin: 2 * time.Second}
 	for _, test := range []struct {
 		made, now time.Duration
 		want      bool
@@ -126,14 +126,14 @@
 		{-time.Hour, 4 * time.Second, false},
 		{time.Minute, 4 * time.Second, false},
 	} {
-		if got := f.Provable(begin.Add(test.made), begin.Add(test.now)); got != test.want {
+		if got := f.ProvesNew(begin.Add(test.made), begin.Add(test.now)); got != test.want {
 			t.Errorf("made %v, now %v: %v", test.made, test.now, got)
 		}
 	}
-	if _, ok := Made(uuid.NewString()); ok {
+	if _, ok := KeyTime(uuid.NewString()); ok {
 		t.Error("a random key carries no time")
 	}
-	made, ok := Made(uuid.Must(uuid.NewV7()).String())
+	made, ok := KeyTime(uuid.Must(uuid.NewV7()).String())
 	if !ok || time.Since(made).Abs() > time.Minute {
 		t.Errorf("made %v, %v", made, ok)
 	}
--- a/link/link.go
+++ b/link/link.go
@@ -19,8 +19,8 @@
 type Options struct {
 	// DialTimeout bounds the making of a connection. Default 500 ms.
 	DialTimeout time.Duration
-	// Wrap, where set, wraps each new connection, for TLS or counting.
-	Wrap func(net.Conn) net.Conn
+	// WrapConn, where set, wraps each new connection, for TLS or counting.
+	WrapConn func(net.Conn) net.Conn
 }
 
 const defaultDialTimeout = 500 * time.Millisecond
@@ -85,10 +85,10 @@
 	return p.clients.Load()
 }
 
-// Renew gives the peer a new connection if c is still its current one.
+// Reconnect gives the peer a new connection if c is still its current one.
 // Requests on the old connection run on until they end or are canceled; no
 // new one joins them there.
-func (p *Peer) Renew(c *Clients) {
+func (p *Peer) Reconnect(c *Clients) {
 	fresh := p.connect()
 	if !p.clients.CompareAndSwap(c, fresh) {
 		return
@@ -97,8 +97,8 @@
 	c.transport.CloseIdleConnections()
 }
 
-// Renewed returns how often the connection was replaced.
-func (p *Peer) Renewed() int64 {
+// Reconnects returns how often the connection was replaced.
+func (p *Peer) Reconnects() int64 {
 	return p.renewed.Load()
 }
 
@@ -128,8 +128,8 @@
 }
 
 func (p *Pool) wrap(conn net.Conn) net.Conn {
-	if p.options.Wrap != nil {
-		conn = p.options.Wrap(conn)
+	if p.options.WrapConn != nil {
+		conn = p.options.WrapConn(conn)
 	}
 	return &countedConn{Conn: conn, pool: p}
 }
--- a/stream/buffer.go
+++ b/stream/buffer.go
@@ -54,16 +54,16 @@
 	return true
 }
 
-// End returns the offset after the last token.
-func (b *Buffer) End() int {
+// EndOffset returns the offset after the last token.
+func (b *Buffer) EndOffset() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.base + len(b.tokens)
 }
 
-// Holds reports whether a reader can go on from offset: the buffer has
+// CanReadFrom reports whether a reader can go on from offset: the buffer has
 // neither lost the tokens there nor would it leave a gap.
-func (b *Buffer) Holds(offset int) bool {
+func (b *Buffer) CanReadFrom(offset int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return offset >= b.base && offset <= b.base+len(b.tokens)
@@ -87,9 +87,9 @@
 	b.wake()
 }
 
-// From returns the tokens at and after offset, the end once it is there, and
+// TokensFrom returns the tokens at and after offset, the end once it is there, and
 // a channel that closes at the next change.
-func (b *Buffer) From(offset int) ([]string, *Finish, <-chan struct{}) {
+func (b *Buffer) TokensFrom(offset int) ([]string, *Finish, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at := offset - b.base
@@ -99,18 +99,18 @@
 	return b.tokens[at:], b.finish, b.changed
 }
 
-// Verdict says what an Assembler made of an event.
-type Verdict string
+// EventStatus says what an Assembler made of an event.
+type EventStatus string
 
 // The verdicts on an event.
 const (
-	Next      Verdict = "next"
-	Duplicate Verdict = "duplicate"
-	// Ahead: events before this one are missing, so the connection is not to
+	Next      EventStatus = "next"
+	Duplicate EventStatus = "duplicate"
+	// Gap: events before this one are missing, so the connection is not to
 	// be believed; resume from Offset on a new one.
-	Ahead Verdict = "ahead"
-	// Crossed: the event belongs to an attempt that was given up.
-	Crossed Verdict = "crossed"
+	Gap EventStatus = "ahead"
+	// Stale: the event belongs to an attempt that was given up.
+	Stale EventStatus = "crossed"
 )
 
 // Assembler decides which events of a stream are passed on. It is not safe
@@ -128,36 +128,36 @@
 	return a.offset
 }
 
-// Resume returns the next event's offset as the current attempt counts.
-func (a *Assembler) Resume() int {
+// AttemptOffset returns the next event's offset as the current attempt counts.
+func (a *Assembler) AttemptOffset() int {
 	return a.offset - a.base
 }
 
-// Begin starts an attempt that continues after what was passed on so far.
+// StartAttempt starts an attempt that continues after what was passed on so far.
 // Events of all others are crossed from now on.
-func (a *Assembler) Begin(attempt uint32) {
+func (a *Assembler) StartAttempt(attempt uint32) {
 	a.attempt = attempt
 	a.base = a.offset
 }
 
-// ResumeAt makes the assembler go on with an attempt that began at base, at
+// Restore makes the assembler go on with an attempt that began at base, at
 // the stream's offset.
-func (a *Assembler) ResumeAt(attempt uint32, base, offset int) {
+func (a *Assembler) Restore(attempt uint32, base, offset int) {
 	a.attempt = attempt
 	a.base = base
 	a.offset = offset
 }
 
-// Take decides about one event of an attempt, by the attempt's own offset.
-func (a *Assembler) Take(attempt uint32, offset int) Verdict {
+// Accept decides about one event of an attempt, by the attempt's own offset.
+func (a *Assembler) Accept(attempt uint32, offset int) EventStatus {
 	if attempt != a.attempt {
-		return Crossed
+		return Stale
 	}
 	switch {
 	case a.base+offset < a.offset:
 		return Duplicate
 	case a.base+offset > a.offset:
-		return Ahead
+		return Gap
 	}
 	a.offset++
 	return Next
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -18,21 +18,21 @@
 		var got []int
 		attempt := uint32(1)
 		bases := map[uint32]int{1: 0}
-		a.Begin(1)
+		a.StartAttempt(1)
 		for len(got) < length {
 			from := rapid.SampledFrom([]uint32{attempt, attempt, attempt, max(1, attempt-1)}).Draw(t, "attempt")
-			at := rapid.IntRange(max(0, a.Resume()-2), a.Resume()+2).Draw(t, "offset")
-			switch a.Take(from, at) {
+			at := rapid.IntRange(max(0, a.AttemptOffset()-2), a.AttemptOffset()+2).Draw(t, "offset")
+			switch a.Accept(from, at) {
 			case Next:
 				got = append(got, bases[from]+at)
-			case Crossed:
+			case Stale:
 				if from == attempt {
 					t.Fatal("an event of the current attempt was dropped as crossed")
 				}
 			}
 			if rapid.IntRange(0, 9).Draw(t, "break") == 0 {
 				attempt++
-				a.Begin(attempt)
+				a.StartAttempt(attempt)
 				bases[attempt] = len(got)
 			}
 		}
@@ -50,7 +50,7 @@
 		t.Error("only the next token may be added")
 	}
 	for offset, want := range map[int]bool{4: false, 5: true, 6: true, 7: false} {
-		if got := b.Holds(offset); got != want {
+		if got := b.CanReadFrom(offset); got != want {
 			t.Errorf("holds %d: %v", offset, got)
 		}
 	}
@@ -59,7 +59,7 @@
 	if b.Append(6, "late") {
 		t.Error("a token was added after the end")
 	}
-	tokens, finish, _ := b.From(5)
+	tokens, finish, _ := b.TokensFrom(5)
 	if fmt.Sprint(tokens) != "[five]" || finish == nil || finish.Reason != "length" {
 		t.Errorf("tokens %v, finish %v", tokens, finish)
 	}
