--- a/cmd/acaciakeel-entry/main.go
+++ b/cmd/acaciakeel-entry/main.go
@@ -37,7 +37,7 @@
 		Log:       log,
 		Listen:    s.Self.Listen,
 		Handler:   e.Handler(),
-		Stop:      e.Stopping,
+		Stop:      e.AnnounceShutdown,
 		StopLimit: settings.Millis(s.StopLimitMS),
 	}, nil
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -173,9 +173,9 @@
 // ready", so that the balancer sends nothing to a closed door.
 const stopNotice = 2 * time.Second
 
-// Stopping makes the entry tell the balancer that it leaves, and returns once
+// AnnounceShutdown makes the entry tell the balancer that it leaves, and returns once
 // the balancer has had time to notice. Requests are served all the while.
-func (e *Entry) Stopping(ctx context.Context) {
+func (e *Entry) AnnounceShutdown(ctx context.Context) {
 	e.stopping.Store(true)
 	select {
 	case <-time.After(stopNotice):
