--- a/fleet/cache.go
+++ b/fleet/cache.go
@@ -56,7 +56,7 @@
 	return added
 }
 
-// cachedTokens returns how many of a chain's first cachedTokens are assumed to be cached.
+// cachedTokens returns how many of a chain's first tokens are assumed to be cached.
 func (c *cache) cachedTokens(chain prefix.Chain) int {
 	tokens := 0
 	for _, b := range chain.Boundaries {
@@ -74,7 +74,7 @@
 	stored bool
 }
 
-// changesOf converts cache events to changesOf, in their order.
+// changesOf converts cache events to changes, in their order.
 func changesOf(events []CacheEvent) []change {
 	out := make([]change, 0, len(events))
 	for _, e := range events {
--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -279,7 +279,7 @@
 	return h
 }
 
-// newChoice returns the newChoice of a target for a request. The prompt's chains are
+// newChoice returns the choice of a target for a request. The prompt's chains are
 // computed once for each version of the weights and kept in chains.
 func (f *Fleet) newChoice(q Query, s *targetState, chains map[int64]prefix.Chain, from fetch, now time.Time) Choice {
 	weights := s.version(q.Model)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -97,7 +97,7 @@
 	// onRestart is called with each later instance of a target and the one that it
 	// replaces.
 	onRestart func(now, former Instance)
-	// onEnd is called with each instance that was observed to have onEnd.
+	// onEnd is called with each instance that was observed to have ended.
 	onEnd func(Instance)
 	// limiter enforces the limits that targets declare; nil enforces none. limitsChanged
 	// is set when it has to get them anew.
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -185,12 +185,12 @@
 // Guards against a new prompt that two processes send to the store: the link's and the
 // store's capacity would go to what it has.
 func TestPromptIsSavedByOneOfTwo(t *testing.T) {
-	entry := func() *Fleet {
+	process := func() *Fleet {
 		f := withTargets(New("z"), target("a", 1))
 		f.SetStores([]KVCacheStore{{Address: "s:1", Capacity: 1e6}})
 		return f
 	}
-	one, two := entry(), entry()
+	one, two := process(), process()
 	first, _ := one.Choose(query(), start)
 	two.MergeSaves(one.Saves(), start)
 	second, _ := two.Choose(query(), start.Add(time.Second))
@@ -203,8 +203,8 @@
 	}
 }
 
-// recordRuns records twenty runs with at most output tokens, each of which holds its slot
-// for held after a prefill of read.
+// recordRuns records twenty runs of answers of at most output tokens, each of which holds
+// its slot for held after a prefill of read.
 func recordRuns(f *Fleet, id string, output int, read, held time.Duration) {
 	now := start
 	for range 20 {
@@ -234,7 +234,7 @@
 }
 
 // Guards against packed runs with long prompts (17,000 tokens for 480): one target got
-// thirty times the prefill that it can do beside idle ones, and 155 of 254 runs were lost.
+// thirty times the prefill it can do, beside idle ones, and 155 of 254 runs were lost.
 func TestRunsWithLongPromptsAreNotPacked(t *testing.T) {
 	f := withTargets(New("z"), target("a", 1), target("b", 1), target("c", 1))
 	recordRuns(f, "a", 800, 500*time.Millisecond, 3*time.Second)
@@ -389,7 +389,7 @@
 		}
 	}
 	late := old.DesiredHistory(within, start)
-	if news := fresh.MergeDesiredHistory(late, start.Add(5*time.Second)); len(news) != 0 || behind(4) != 2*time.Second {
-		t.Errorf("a late update changed %v", news)
+	if added := fresh.MergeDesiredHistory(late, start.Add(5*time.Second)); len(added) != 0 || behind(4) != 2*time.Second {
+		t.Errorf("a late update changed %v", added)
 	}
 }
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against a target that announced its shutdown and is used again after an older
-// or rewritten list entry, or by a process that only learnt of it from another.
+// Guards against a target that announced its shutdown and is used again after an older or
+// rewritten list entry, or by a process that only learnt of it from another.
 func TestShutdownOutlivesListEntry(t *testing.T) {
 	entry := Target{ID: "a", Born: 1, Service: "desk", Address: "a:1", Zone: "z1", Slots: 4}
 	instance := entry.Instance()
@@ -24,11 +24,11 @@
 	if takesWork(f, t0.Add(time.Second)) {
 		t.Error("a list entry makes the target available again")
 	}
-	if heard := other.MergeTargetUpdates(f.TargetUpdates(t0.Add(time.Second)), t0.Add(time.Second)); len(heard.ShuttingDown) != 1 || takesWork(other, t0.Add(time.Second)) {
-		t.Errorf("another process that learnt of %v still chooses the target", heard.ShuttingDown)
+	if result := other.MergeTargetUpdates(f.TargetUpdates(t0.Add(time.Second)), t0.Add(time.Second)); len(result.ShuttingDown) != 1 || takesWork(other, t0.Add(time.Second)) {
+		t.Errorf("another process that learnt of %v still chooses the target", result.ShuttingDown)
 	}
-	if told := other.TargetUpdates(t0.Add(time.Second)); len(told) != 0 {
-		t.Errorf("the other process passes on a received shutdown: %v", told)
+	if updates := other.TargetUpdates(t0.Add(time.Second)); len(updates) != 0 {
+		t.Errorf("the other process passes on a received shutdown: %v", updates)
 	}
 	f.Remove("a")
 	f.Put(entry)
--- a/fleet/life.go
+++ b/fleet/life.go
@@ -110,9 +110,9 @@
 }
 
 // currentIDs returns the target IDs of those instances that are current.
-func (f *Fleet) currentIDs(lives []Instance) []string {
+func (f *Fleet) currentIDs(instances []Instance) []string {
 	var ids []string
-	for _, l := range lives {
+	for _, l := range instances {
 		if f.isCurrent(l) {
 			ids = append(ids, l.ID)
 		}
--- a/fleet/life_test.go
+++ b/fleet/life_test.go
@@ -78,16 +78,16 @@
 func TestRestartIsShared(t *testing.T) {
 	first, second := withTargets(New("z"), startedAt(target("a", 1), 10)), withTargets(New("z"), startedAt(target("a", 1), 10))
 	second.Begin(Instance{ID: "a", Born: 10}, RequestLoad{UncachedTokens: 9000, Chain: query().Chain(1), Capacity: 1e6}, start)
-	var told []Instance
-	second.OnRestart(func(now, former Instance) { told = append(told, now, former) })
+	var called []Instance
+	second.OnRestart(func(now, former Instance) { called = append(called, now, former) })
 	first.Observe(Instance{ID: "a", Born: 20})
 	second.MergeTargetUpdates(first.TargetUpdates(start), start)
 	second.MergeTargetUpdates(first.TargetUpdates(start.Add(time.Millisecond)), start)
 	if !second.IsCurrent(Instance{ID: "a", Born: 20}) || cachedTokensAt(second, "a") != 0 {
 		t.Errorf("the other process has %+v with %d cached tokens", second.states["a"].target, cachedTokensAt(second, "a"))
 	}
-	if len(told) != 2 || told[0].Born != 20 || told[1].Born != 10 {
-		t.Errorf("called with %v, want the new and the former instance once", told)
+	if len(called) != 2 || called[0].Born != 20 || called[1].Born != 10 {
+		t.Errorf("called with %v, want the new and the former instance once", called)
 	}
 	first.MergeTargetUpdates([]TargetUpdate{{Target: Instance{ID: "a", Born: 10}, BusyFor: time.Second}}, start)
 	if !first.states["a"].busyUntil.IsZero() {
--- a/fleet/light_test.go
+++ b/fleet/light_test.go
@@ -34,8 +34,8 @@
 	return f
 }
 
-// Guards against light requests behind heavy ones: other processes' choices are known
-// 100 ms late, and one light request in three waited half a second for its own 8 ms.
+// Guards against light requests behind heavy ones: other processes' choices are known 100
+// ms late, and one light request in three waited half a second for its own 8 ms.
 func TestTargetsAreReservedForLightRequests(t *testing.T) {
 	f := nineTargets()
 	used := map[bool]map[string]bool{true: {}, false: {}}
--- a/fleet/limit_model_test.go
+++ b/fleet/limit_model_test.go
@@ -23,8 +23,8 @@
 	// delay is the mean delay of updates, interval how often they are sent.
 	delay, interval time.Duration
 	scheduled       map[time.Duration][]func()
-	// arrived is when requests came to each target, bound when those came that are bound
-	// by its limit.
+	// arrived is when requests came to each target, informed when those came from
+	// processes that know its limit.
 	arrived  map[string][]time.Duration
 	informed map[string][]time.Duration
 }
@@ -33,11 +33,11 @@
 	fleet *Fleet
 	book  *quota.Limiter
 	next  time.Duration
-	// declaredAt is when each target first declared its limit to the host.
+	// declaredAt is when each target first declared its limit to the process.
 	declaredAt map[string]time.Duration
 }
 
-// informed reports whether a target declared its limit to the host long enough ago.
+// informed reports whether a target declared its limit to the process long enough ago.
 func (h *limitProcess) informed(id string, now time.Duration) bool {
 	at, ok := h.declaredAt[id]
 	return ok && now-at >= 500*time.Millisecond
@@ -45,9 +45,9 @@
 
 const limitStep = 5 * time.Millisecond
 
-func newLimitModel(n, targets int, pulse, late time.Duration) *limitModel {
+func newLimitModel(n, targets int, interval, delay time.Duration) *limitModel {
 	m := &limitModel{
-		rand: rand.New(rand.NewPCG(1, 2)), interval: pulse, delay: late, limits: map[string]float64{},
+		rand: rand.New(rand.NewPCG(1, 2)), interval: interval, delay: delay, limits: map[string]float64{},
 		scheduled: map[time.Duration][]func(){}, arrived: map[string][]time.Duration{}, informed: map[string][]time.Duration{},
 	}
 	for i := range targets {
@@ -55,7 +55,7 @@
 	}
 	for range n {
 		h := &limitProcess{fleet: New("z1"), book: quota.NewLimiter(LimitTolerance, nil, func() bool { return true }, t0.Add(-time.Minute)), declaredAt: map[string]time.Duration{}}
-		h.next = time.Duration(m.rand.Int64N(int64(pulse)))
+		h.next = time.Duration(m.rand.Int64N(int64(interval)))
 		h.book.SetMembers(n)
 		h.fleet.EnforceLimits(h.book, m.rand)
 		for _, id := range m.targets {
@@ -96,13 +96,13 @@
 
 // sendUpdates sends a process's updates to the others.
 func (m *limitModel) sendUpdates(i int, h *limitProcess) {
-	findings, words := h.fleet.TargetUpdates(m.at()), h.book.PeerUpdate(m.at())
-	words.Sender = fmt.Sprint(i)
+	updates, usage := h.fleet.TargetUpdates(m.at()), h.book.PeerUpdate(m.at())
+	usage.Sender = fmt.Sprint(i)
 	for _, to := range m.processes {
 		if to != h {
 			m.schedule(m.delay/2+time.Duration(m.rand.Int64N(int64(m.delay))), func() {
-				to.fleet.MergeTargetUpdates(findings, m.at())
-				to.book.ApplyPeerUpdate(words, m.at())
+				to.fleet.MergeTargetUpdates(updates, m.at())
+				to.book.ApplyPeerUpdate(usage, m.at())
 			})
 		}
 	}
@@ -134,8 +134,8 @@
 	})
 }
 
-// worstWindow returns the worstWindow requests that came to a target in any four seconds from a moment
-// on, as a fraction of what it tolerates.
+// worstWindow returns the most requests that came to a target in any four seconds from a
+// moment on, as a fraction of what it tolerates.
 func (m *limitModel) worstWindow(id string, from time.Duration) float64 {
 	most, first, all := 0, 0, m.informed[id]
 	for i, at := range all {
--- a/fleet/limit_test.go
+++ b/fleet/limit_test.go
@@ -28,7 +28,7 @@
 func TestLimitOutlivesOlderMessages(t *testing.T) {
 	f, a := limitedFleet()
 	f.Receive(a, limitOf(2), t0, t0.Add(time.Second))
-	for what, word := range map[string]func(){
+	for what, apply := range map[string]func(){
 		"a response to an earlier request": func() { f.Receive(a, Notice{}, t0, t0.Add(2*time.Second)) },
 		"a list entry":                     func() { f.Put(Target{ID: "a", Born: 1, Service: "desk", Address: "a:1", Zone: "z1", Slots: 4}) },
 		"a malformed value": func() {
@@ -39,12 +39,12 @@
 		},
 		"a response of a former instance": func() { f.Receive(Instance{ID: "a", Born: -1}, Notice{}, t0.Add(5*time.Second), t0.Add(6*time.Second)) },
 	} {
-		if word(); f.Limit(a) != (Limit{Declared: true, Rate: 2}) {
+		if apply(); f.Limit(a) != (Limit{Declared: true, Rate: 2}) {
 			t.Fatalf("%s lifted the limit", what)
 		}
 	}
-	otherUnread := Notice{Malformed: []string{"rest"}}
-	if _, changed := f.Receive(a, otherUnread, t0.Add(7*time.Second), t0.Add(8*time.Second)); !changed || f.Limit(a).Declared {
+	otherMalformed := Notice{Malformed: []string{"rest"}}
+	if _, changed := f.Receive(a, otherMalformed, t0.Add(7*time.Second), t0.Add(8*time.Second)); !changed || f.Limit(a).Declared {
 		t.Error("a response to a later request that declares no limit must lift it, even if another field of its notice is malformed")
 	}
 }
--- a/fleet/readers.go
+++ b/fleet/readers.go
@@ -65,7 +65,7 @@
 	return len(m.all) > maxUnshardedMembers
 }
 
-// readsCache reports whether this process readsCache the cache at address.
+// readsCache reports whether this process reads the cache at address.
 func (m *members) readsCache(address string) bool {
 	if !m.sharded() {
 		return true
@@ -78,7 +78,7 @@
 	return reads
 }
 
-// isAssigned reports whether this process is isAssigned the first in the rendezvous order of
+// isAssigned reports whether this process is among the first in the rendezvous order of
 // an address, which is the same for all processes.
 func (m *members) isAssigned(address string) bool {
 	hash := prefix.NameHash(address)
@@ -249,10 +249,10 @@
 // allUnresponsive reports whether all recent reports are of reads without an answer: a
 // process that got an answer may be the only one that is not cut off itself. Expired
 // reports are removed.
-func allUnresponsive(words map[string]livenessReport, now time.Time) bool {
-	for sender, w := range words {
+func allUnresponsive(reports map[string]livenessReport, now time.Time) bool {
+	for sender, w := range reports {
 		if !now.Before(w.expiresAt) {
-			delete(words, sender)
+			delete(reports, sender)
 		} else if !w.unresponsive {
 			return false
 		}
--- a/fleet/ticket.go
+++ b/fleet/ticket.go
@@ -81,8 +81,8 @@
 	t.firstAt = now
 	t.prefillDone()
 	if t.load.PromptTokens > 0 && !t.fleet.disabled[policy.Learning] {
-		reading := forecast.PrefillSample{UncachedTokens: t.load.UncachedTokens, PromptTokens: t.load.PromptTokens, QueuedTokens: t.backlog, Transferred: t.load.Transfer, TimeToFirstToken: now.Sub(t.began)}
-		t.fleet.engine(t.state.target.Service).ObservePrefill(reading, now)
+		sample := forecast.PrefillSample{UncachedTokens: t.load.UncachedTokens, PromptTokens: t.load.PromptTokens, QueuedTokens: t.backlog, Transferred: t.load.Transfer, TimeToFirstToken: now.Sub(t.began)}
+		t.fleet.engine(t.state.target.Service).ObservePrefill(sample, now)
 	}
 }
 
--- a/fleet/unseen.go
+++ b/fleet/unseen.go
@@ -53,9 +53,9 @@
 }
 
 // comparedCount returns how many of n targets a prompt's choice compares. Decisions of
-// the others since their last report are unknown; if each process comparedCount all targets,
+// the others since their last report are unknown; if each process compared all targets,
 // all would send to the same idle ones meanwhile. Each compares so many that a target is
-// comparedCount by about two of the unknown decisions, and the ranking, which differs with
+// compared by about two of the unknown decisions, and the ranking, which differs with
 // each prompt, spreads them further.
 func (f *Fleet) comparedCount(q Query, n int, now time.Time) int {
 	if f.disabled[policy.CandidateSampling] {
