--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -193,12 +193,12 @@
 }
 
 // chooseIsolated picks the target with the fewest requests for a request that may crash
-// it: cached parts elsewhere are not worth the work of others. Targets in Avoid have
-// another such request and are left out, so that a crash shows which request caused it.
-// If there are no others, isolation is in vain and ok is false, unless AlwaysIsolate is
-// set: when a dozen targets crash together, hundreds of requests are suspect for a
-// moment, and prefilling all of their prompts without cached parts would cost other
-// requests more.
+// it: cached parts elsewhere are worth less than the requests that a crash would end.
+// Targets in Avoid have another such request and are left out, so that a crash shows
+// which request caused it. If there are no others, isolation does not help and ok is
+// false, unless AlwaysIsolate is set: when a dozen targets crash together, hundreds of
+// requests are suspect for a moment, and prefilling all of their prompts without cached
+// parts would cost other requests more.
 func (f *Fleet) chooseIsolated(q Query, g *group, indices []int32, now time.Time) (c Choice, ok bool) {
 	avoid := placement.Except(f.currentIDs(q.Avoid))
 	rest := slices.DeleteFunc(slices.Clone(indices), func(i int32) bool { return !avoid(&g.candidates[i]) })
@@ -322,7 +322,7 @@
 		PenaltySeconds: s.health.Penalty(now).Seconds(),
 		NetworkSeconds: f.linkCost(s).Seconds(),
 	}
-	if from.transfer.FromRunner == 0 {
+	if from.transfer.FromTarget == 0 {
 		a.NetworkSeconds += f.crossDataCentreFetchCost(q, chain, s, cached).Seconds()
 	}
 	a.NetworkSeconds += evictionCostFactor * e.BacklogTime(from.tokens, now).Seconds()
--- a/fleet/dense.go
+++ b/fleet/dense.go
@@ -45,14 +45,15 @@
 	return nil
 }
 
-// packedTarget returns one of the first targets in the order that have long runs and room
+// packedTarget picks among the first targets of the order that have long runs and room
 // for more, followed by the first that have none. During a rollout the head of the order
-// changes with every target that has loaded its weights, which must not spread the runs.
+// changes with every target that has loaded its weights; the order alone would spread the
+// runs.
 //
-// With a hundred processes, more runs are placed before the processes learn of each
-// other's choices than several targets hold. If all went to the first target with room,
-// its queue would overflow while the next ones are empty. So the choice is among as many
-// targets as have room for the runs not known of, weighted by their room.
+// With a hundred processes, as many runs as several targets hold are placed before the
+// processes learn of each other's choices. If all went to the first target with room, its
+// queue would overflow while the next ones are empty. So the pick is among as many
+// targets as have room for these runs, weighted by their room.
 func (f *Fleet) packedTarget(q Query, g *group, indices []int32, now time.Time) *targetState {
 	if len(indices) == 0 {
 		return nil
@@ -81,9 +82,9 @@
 	return pickByRoom(append(begun, empty...), f.requiredRoom(q, now))
 }
 
-// requiredRoom returns for how many long runs there must be room among the targets that
-// one is sent to: for those expected to be placed unknown to this process, and for at
-// least one of each process, as long as it is not known how many come.
+// requiredRoom returns for how many long runs the targets picked from must have room: for
+// those placed before this process learns of them, and for at least one of each process,
+// as their rate may not be known yet.
 func (f *Fleet) requiredRoom(q Query, now time.Time) float64 {
 	unseen := f.engine(q.Service).OfferedLoad(now).LongRate * f.propagationDelay().Seconds()
 	return max(float64(f.members.count()), 1+unseenRoomFactor*unseen)
--- a/fleet/limit.go
+++ b/fleet/limit.go
@@ -87,7 +87,7 @@
 }
 
 // limitUpdate returns the limit that the target recently declared to this process. Limits
-// received from other processes are not passed on, as they would circulate for good.
+// received from other processes are not passed on, as they would circulate forever.
 func (s *targetState) limitUpdate(now time.Time) *LimitUpdate {
 	if s.limit.observedAt.IsZero() || s.limit.observedAt.Before(s.limit.declaredAt) || now.Sub(s.limit.observedAt) >= updateRepeatFor {
 		return nil
--- a/fleet/occupancy_test.go
+++ b/fleet/occupancy_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// Guards against odd figures that make a target count as full for good, or as free.
+// Guards against odd figures that make a target count as full forever, or as free.
 func TestMemoryWait(t *testing.T) {
 	f := New("z")
 	for _, c := range []struct {
--- a/fleet/share.go
+++ b/fleet/share.go
@@ -11,7 +11,7 @@
 	Weights map[string]int64
 	// BusyFor is for how long a load order keeps new requests out, as the process itself
 	// observed. Received values are not passed on: each hop would add its delay, and the
-	// value would circulate for good.
+	// value would circulate forever.
 	BusyFor time.Duration
 	// Parts are those that the process had prefilled there since its last update.
 	Parts []Part
--- a/fleet/sources.go
+++ b/fleet/sources.go
@@ -84,7 +84,7 @@
 	for _, r := range locations.targets {
 		if r.state != s {
 			tokens := (r.tokens - cached) * transferFactor(r.state.target.Zone, s.target.Zone)
-			try(fetch{r.state.target.Address, r.tokens, forecast.KVTransfer{FromRunner: tokens}})
+			try(fetch{r.state.target.Address, r.tokens, forecast.KVTransfer{FromTarget: tokens}})
 		}
 	}
 	if locations.store != "" {
--- a/fleet/unseen.go
+++ b/fleet/unseen.go
@@ -54,9 +54,9 @@
 
 // comparedCount returns how many of n targets a prompt's choice compares. Decisions of
 // the others since their last report are unknown; if each process compared all targets,
-// all would send to the same idle ones meanwhile. Each compares so many that a target is
-// compared by about two of the unknown decisions, and the ranking, which differs with
-// each prompt, spreads them further.
+// all would send to the same idle ones meanwhile. With 2n divided by the number of
+// unknown decisions, each target is among those compared for about two of these, and the
+// ranking, which differs with each prompt, spreads them further.
 func (f *Fleet) comparedCount(q Query, n int, now time.Time) int {
 	if f.disabled[policy.CandidateSampling] {
 		return maxCompared
