--- a/fleet/limit_model_test.go
+++ b/fleet/limit_model_test.go
@@ -30,9 +30,9 @@
 }
 
 type limitProcess struct {
-	fleet *Fleet
-	book  *quota.Limiter
-	next  time.Duration
+	fleet   *Fleet
+	limiter *quota.Limiter
+	next    time.Duration
 	// declaredAt is when each target first declared its limit to the process.
 	declaredAt map[string]time.Duration
 }
@@ -54,10 +54,10 @@
 		m.targets = append(m.targets, fmt.Sprintf("t%d", i))
 	}
 	for range n {
-		h := &limitProcess{fleet: New("z1"), book: quota.NewLimiter(LimitTolerance, nil, func() bool { return true }, t0.Add(-time.Minute)), declaredAt: map[string]time.Duration{}}
+		h := &limitProcess{fleet: New("z1"), limiter: quota.NewLimiter(LimitTolerance, nil, func() bool { return true }, t0.Add(-time.Minute)), declaredAt: map[string]time.Duration{}}
 		h.next = time.Duration(m.rand.Int64N(int64(interval)))
-		h.book.SetMembers(n)
-		h.fleet.EnforceLimits(h.book, m.rand)
+		h.limiter.SetMembers(n)
+		h.fleet.EnforceLimits(h.limiter, m.rand)
 		for _, id := range m.targets {
 			h.fleet.Put(Target{ID: id, Born: 1, Service: "desk", Address: id + ":1", Zone: "z1", Slots: 64})
 		}
@@ -96,13 +96,13 @@
 
 // sendUpdates sends a process's updates to the others.
 func (m *limitModel) sendUpdates(i int, h *limitProcess) {
-	updates, usage := h.fleet.TargetUpdates(m.at()), h.book.PeerUpdate(m.at())
+	updates, usage := h.fleet.TargetUpdates(m.at()), h.limiter.PeerUpdate(m.at())
 	usage.Sender = fmt.Sprint(i)
 	for _, to := range m.processes {
 		if to != h {
 			m.schedule(m.delay/2+time.Duration(m.rand.Int64N(int64(m.delay))), func() {
 				to.fleet.MergeTargetUpdates(updates, m.at())
-				to.book.ApplyPeerUpdate(usage, m.at())
+				to.limiter.ApplyPeerUpdate(usage, m.at())
 			})
 		}
 	}
--- a/fleet/naming.go
+++ b/fleet/naming.go
@@ -63,7 +63,7 @@
 // RecordDesired records that a version of a model's weights has been desired since a
 // time, with estimated set if that time is not known. It reports whether the version is
 // new; versions never go back.
-func (f *Fleet) RecordDesired(model string, version int64, at time.Time, guessed bool) bool {
+func (f *Fleet) RecordDesired(model string, version int64, at time.Time, estimated bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h := f.desired[model]
@@ -74,7 +74,7 @@
 		h = &desiredHistory{}
 		f.desired[model] = h
 	}
-	return h.add(desiredEntry{version: version, at: at, estimated: guessed})
+	return h.add(desiredEntry{version: version, at: at, estimated: estimated})
 }
 
 // DesiredVersion is a version of a model's weights and for how long it has been desired.
