--- a/ledger/fresh.go
+++ b/ledger/fresh.go
@@ -6,30 +6,34 @@
 	"github.com/google/uuid"
 )
 
-// KeyTime returns when a key was made, if it carries that: a UUIDv7 does.
+// KeyTime returns the creation time embedded in a key. Only UUIDv7 keys carry
+// one; ok is false for all others.
 func KeyTime(key string) (time.Time, bool) {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
 		return time.Time{}, false
 	}
-	sec, nsec := id.Time().UnixTime()
-	return time.Unix(sec, nsec), true
+	seconds, nanoseconds := id.Time().UnixTime()
+	return time.Unix(seconds, nanoseconds), true
 }
 
-// Freshness decides whether a key provably can't have run before this
-// incarnation of its home agent began, so that its call needs no claim in the
-// platform's service. This serves holds while that service is down.
+// Freshness decides whether a key was created after this incarnation of its
+// home agent started. No other process can have run the call of such a key, so
+// it can be sent without a claim in the platform's service, even while that
+// service is down.
 type Freshness struct {
-	// StartTime is when this incarnation began to listen, or when the targets
-	// among which homes are chosen last changed, if that was later.
+	// StartTime is the later of two times: when this incarnation began to
+	// listen, and when the set of targets from which a key's home is chosen
+	// last changed.
 	StartTime time.Time
-	// ClockMargin bounds the difference of two machines' clocks, both ways, and
-	// the time until a change of the targets is in force everywhere.
+	// ClockMargin bounds the clock skew between two machines, in either
+	// direction, and the time until all processes apply a change of the targets.
 	ClockMargin time.Duration
 }
 
-// ProvesNew reports whether a key made at the given time is new to all
-// processes but this one. A key from the future is not believed.
-func (f Freshness) ProvesNew(made, now time.Time) bool {
-	return made.After(f.StartTime.Add(f.ClockMargin)) && !made.After(now.Add(f.ClockMargin))
+// ProvesNew reports whether no process but this one can have received a key
+// with the given creation time. It returns false for a creation time further
+// in the future than ClockMargin, since such a clock can't be trusted.
+func (f Freshness) ProvesNew(created, now time.Time) bool {
+	return created.After(f.StartTime.Add(f.ClockMargin)) && !created.After(now.Add(f.ClockMargin))
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -10,33 +10,31 @@
 )
 
 var (
-	begin  = time.Unix(1000, 0)
+	t0     = time.Unix(1000, 0)
 	key    = Key{Customer: "a", Service: "cart", IdempotencyKey: "k"}
 	limits = Limits{MaxRecords: 4, MaxAnswerBytes: 100, Retention: time.Minute, TombstoneRetention: time.Minute}
 )
 
-// A buyer whose shop client repeats a hold must find one box sold once. The
-// order: any number of attempts, some late, some given up, answers lost in
-// between. The cause of a second sale would be a second Run for one key after
-// a send. Every history of the ledger is checked for that.
+// Guards against a call sent twice: a second Run for a key whose call was already sent, in any order of repeated, late
+// and abandoned attempts and lost answers.
 func TestOneSendForEachKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(limits)
-		now := begin
+		now := t0
 		sends := 0
 		running := false
-		told := map[Attempt]bool{}
+		notRun := map[Attempt]bool{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Second)
 			attempt := Attempt{RequestID: "r", Number: uint32(rapid.IntRange(0, 5).Draw(t, "attempt"))}
 			switch rapid.IntRange(0, 6).Draw(t, "op") {
 			case 0, 1, 2:
-				verdict, record := l.Begin(key, attempt, 1, now)
-				if verdict != Run {
+				decision, record := l.Begin(key, attempt, 1, now)
+				if decision != Run {
 					continue
 				}
-				if told[attempt] {
-					t.Fatal("an attempt that was told 'not run' runs")
+				if notRun[attempt] {
+					t.Fatal("an attempt that was reported as not run runs")
 				}
 				record.Claimed = true
 				running = true
@@ -57,7 +55,7 @@
 				l.MarkNotRun(key, now)
 			case 6:
 				if l.Abandon(key, attempt, now) == NotRun {
-					told[attempt] = true
+					notRun[attempt] = true
 				}
 			}
 			if sends > 1 {
@@ -67,74 +65,74 @@
 	})
 }
 
-func TestVerdicts(t *testing.T) {
+func TestDecisions(t *testing.T) {
 	l := New(limits)
 	first, second := Attempt{"r1", 0}, Attempt{"r2", 0}
 	expect := func(want Decision, attempt Attempt, body uint64) {
 		t.Helper()
-		if got, _ := l.Begin(key, attempt, body, begin); got != want {
-			t.Errorf("verdict %s, want %s", got, want)
+		if got, _ := l.Begin(key, attempt, body, t0); got != want {
+			t.Errorf("decision %s, want %s", got, want)
 		}
 	}
 	expect(Run, first, 1)
 	expect(Join, second, 1)
 	expect(RefuseKeyReused, second, 2)
-	l.Finish(key, Answer{Status: 200}, begin)
+	l.Finish(key, Answer{Status: 200}, t0)
 	expect(Replay, second, 1)
-	if got := l.Abandon(key, first, begin); got != Done {
+	if got := l.Abandon(key, first, t0); got != Done {
 		t.Errorf("abandoned as %s, want done", got)
 	}
 	other := Key{IdempotencyKey: "other"}
-	if got := l.Abandon(other, first, begin); got != NotRun {
+	if got := l.Abandon(other, first, t0); got != NotRun {
 		t.Errorf("abandoned as %s, want not_run", got)
 	}
-	if got, _ := l.Begin(other, first, 1, begin); got != RefuseAbandoned {
-		t.Errorf("verdict %s, want abandoned", got)
+	if got, _ := l.Begin(other, first, 1, t0); got != RefuseAbandoned {
+		t.Errorf("decision %s, want abandoned", got)
 	}
 }
 
-// At its bound the ledger forgets calls that a claim protects, and refuses,
-// truthfully as not run, rather than forget one that nothing else knows of.
-func TestBound(t *testing.T) {
+// Guards against a second send after a full ledger removes an unclaimed record, which only the ledger knows of: it must
+// evict a claimed record, and refuse the new call as not run if there is none.
+func TestFullLedgerEvictsOnlyClaimedRecords(t *testing.T) {
 	l := New(limits)
 	for i := range limits.MaxRecords {
 		k := Key{IdempotencyKey: fmt.Sprint(i)}
-		_, r := l.Begin(k, Attempt{}, 1, begin)
+		_, r := l.Begin(k, Attempt{}, 1, t0)
 		r.Claimed = i == 0
-		l.Finish(k, Answer{}, begin)
+		l.Finish(k, Answer{}, t0)
 	}
-	if got, _ := l.Begin(Key{IdempotencyKey: "next"}, Attempt{}, 1, begin); got != Run {
-		t.Fatalf("verdict %s, want run in the place of the claimed call", got)
+	if got, _ := l.Begin(Key{IdempotencyKey: "next"}, Attempt{}, 1, t0); got != Run {
+		t.Fatalf("decision %s, want run after evicting the claimed record", got)
 	}
-	if got, _ := l.Begin(Key{IdempotencyKey: "one more"}, Attempt{}, 1, begin); got != RefuseFull {
-		t.Fatalf("verdict %s, want full", got)
+	if got, _ := l.Begin(Key{IdempotencyKey: "one more"}, Attempt{}, 1, t0); got != RefuseFull {
+		t.Fatalf("decision %s, want full", got)
 	}
-	l.Expire(begin.Add(time.Hour))
+	l.Expire(t0.Add(time.Hour))
 	if got := len(l.Unclaimed()); got != limits.MaxRecords-1 {
 		t.Errorf("%d unclaimed calls kept, want %d whatever their age", got, limits.MaxRecords-1)
 	}
 }
 
 func TestFreshness(t *testing.T) {
-	f := Freshness{StartTime: begin, ClockMargin: 2 * time.Second}
+	f := Freshness{StartTime: t0, ClockMargin: 2 * time.Second}
 	for _, test := range []struct {
-		made, now time.Duration
-		want      bool
+		created, now time.Duration
+		want         bool
 	}{
 		{3 * time.Second, 4 * time.Second, true},
 		{time.Second, 4 * time.Second, false},
 		{-time.Hour, 4 * time.Second, false},
 		{time.Minute, 4 * time.Second, false},
 	} {
-		if got := f.ProvesNew(begin.Add(test.made), begin.Add(test.now)); got != test.want {
-			t.Errorf("made %v, now %v: %v", test.made, test.now, got)
+		if got := f.ProvesNew(t0.Add(test.created), t0.Add(test.now)); got != test.want {
+			t.Errorf("created %v, now %v: proved new %v", test.created, test.now, got)
 		}
 	}
 	if _, ok := KeyTime(uuid.NewString()); ok {
-		t.Error("a random key carries no time")
+		t.Error("a random UUID was read as carrying a creation time")
 	}
-	made, ok := KeyTime(uuid.Must(uuid.NewV7()).String())
-	if !ok || time.Since(made).Abs() > time.Minute {
-		t.Errorf("made %v, %v", made, ok)
+	created, ok := KeyTime(uuid.Must(uuid.NewV7()).String())
+	if !ok || time.Since(created).Abs() > time.Minute {
+		t.Errorf("creation time %v, %v, want about now", created, ok)
 	}
 }
