--- a/stream/buffer.go
+++ b/stream/buffer.go
@@ -1,19 +1,20 @@
-// Package stream keeps streams whole and in order: an agent's Buffer holds
-// every event of a stream by offset until its reader has it, and an entry's
-// Assembler takes events from any number of connections and passes each on once.
+// Package stream delivers the tokens of a stream completely, once and in order.
+// An agent's Buffer holds the tokens of a stream by offset, so that a reader can
+// resume at any of them. An entry's Assembler filters the events that arrive
+// over any number of connections, so that each is passed on once.
 package stream
 
 import "sync"
 
-// Finish is the end of a stream.
+// Finish describes how a stream ended.
 type Finish struct {
-	// Reason is the engine's reason, such as "length".
+	// Reason is the finish reason given by the engine, such as "length".
 	Reason           string
 	PromptTokens     int
 	CachedTokens     int
 	CompletionTokens int
 	WeightsVersion   string
-	// Err is why the stream broke off; nil after a whole answer.
+	// Err is the error that ended the stream; nil if it is complete.
 	Err error
 }
 
@@ -21,8 +22,8 @@
 // safe for concurrent use: one writer, any number of readers.
 type Buffer struct {
 	mu sync.Mutex
-	// base is the offset of the first token held: above 0 in a buffer that
-	// took over a stream in its middle.
+	// base is the offset of the first token held. It is above 0 in a buffer
+	// that started in the middle of a stream.
 	base    int
 	tokens  []string
 	bytes   int
@@ -35,13 +36,14 @@
 	return &Buffer{base: base, changed: make(chan struct{})}
 }
 
-func (b *Buffer) wake() {
+func (b *Buffer) notify() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// Append adds the token at offset. It returns false for a token that is there
-// already or that would leave a gap.
+// Append adds the token at offset. It returns false, and adds nothing, if the
+// buffer already holds that token, if the token would leave a gap, or after
+// Close.
 func (b *Buffer) Append(offset int, text string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,7 +52,7 @@
 	}
 	b.tokens = append(b.tokens, text)
 	b.bytes += len(text)
-	b.wake()
+	b.notify()
 	return true
 }
 
@@ -61,22 +63,22 @@
 	return b.base + len(b.tokens)
 }
 
-// CanReadFrom reports whether a reader can go on from offset: the buffer has
-// neither lost the tokens there nor would it leave a gap.
+// CanReadFrom reports whether a reader can resume at offset, which must be
+// neither before the first token held nor after the end of the buffer.
 func (b *Buffer) CanReadFrom(offset int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return offset >= b.base && offset <= b.base+len(b.tokens)
 }
 
-// Bytes returns the size of the tokens.
+// Bytes returns the total size of the tokens held.
 func (b *Buffer) Bytes() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.bytes
 }
 
-// Close ends the stream. Only the first end counts.
+// Close ends the stream with f. Calls after the first have no effect.
 func (b *Buffer) Close(f Finish) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,71 +86,74 @@
 		return
 	}
 	b.finish = &f
-	b.wake()
+	b.notify()
 }
 
-// TokensFrom returns the tokens at and after offset, the end once it is there, and
-// a channel that closes at the next change.
+// TokensFrom returns the tokens from offset on, the finish of the stream (nil
+// until Close) and a channel that is closed on the next Append or Close.
 func (b *Buffer) TokensFrom(offset int) ([]string, *Finish, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	at := offset - b.base
-	if at < 0 || at >= len(b.tokens) {
+	index := offset - b.base
+	if index < 0 || index >= len(b.tokens) {
 		return nil, b.finish, b.changed
 	}
-	return b.tokens[at:], b.finish, b.changed
+	return b.tokens[index:], b.finish, b.changed
 }
 
-// EventStatus says what an Assembler made of an event.
+// EventStatus is an Assembler's classification of an event.
 type EventStatus string
 
-// The verdicts on an event.
+// The statuses of an event. Only one with status Next is passed on.
 const (
 	Next      EventStatus = "next"
 	Duplicate EventStatus = "duplicate"
-	// Gap: events before this one are missing, so the connection is not to
-	// be believed; resume from Offset on a new one.
+	// Gap: events before this one are missing, so the connection can't be
+	// relied on; resume at AttemptOffset on a new one.
 	Gap EventStatus = "ahead"
-	// Stale: the event belongs to an attempt that was given up.
+	// Stale: the event belongs to an abandoned attempt.
 	Stale EventStatus = "crossed"
 )
 
-// Assembler decides which events of a stream are passed on. It is not safe
-// for concurrent use.
+// Assembler decides which events of a stream to pass on. It is not safe for
+// concurrent use.
 type Assembler struct {
 	attempt uint32
-	// base is the stream's offset at which the current attempt began: an
-	// attempt that continues at another runner counts from 0 again.
+	// base is the stream offset at which the current attempt began. The offsets
+	// of an attempt start at 0, also when it continues a stream at another
+	// target.
 	base   int
 	offset int
 }
 
-// Offset returns the offset of the next event to pass on.
+// Offset returns the stream offset of the next event to pass on.
 func (a *Assembler) Offset() int {
 	return a.offset
 }
 
-// AttemptOffset returns the next event's offset as the current attempt counts.
+// AttemptOffset returns the offset of the next event to pass on, relative to the
+// start of the current attempt.
 func (a *Assembler) AttemptOffset() int {
 	return a.offset - a.base
 }
 
-// StartAttempt starts an attempt that continues after what was passed on so far.
-// Events of all others are crossed from now on.
+// StartAttempt starts an attempt that continues the stream after the events
+// passed on so far. Events of all other attempts are stale from then on.
 func (a *Assembler) StartAttempt(attempt uint32) {
 	a.attempt = attempt
 	a.base = a.offset
 }
 
-// Restore makes the assembler go on with an attempt that began at base, at
-// the stream's offset.
+// Restore sets the assembler to continue, at the given stream offset, an attempt
+// that began at base.
 func (a *Assembler) Restore(attempt uint32, base, offset int) {
 	a.attempt = attempt
 	a.base = base
 	a.offset = offset
 }
 
-// Accept decides about one event of an attempt, by the attempt's own offset.
+// Accept classifies an event by its attempt and its offset in that attempt, and
+// advances the offset if the event is next.
 func (a *Assembler) Accept(attempt uint32, offset int) EventStatus {
 	if attempt != a.attempt {
 		return Stale
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -7,10 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// A caller must read every token once and in order. What happens: connections
-// break and go silent, are resumed at an offset, events come twice, from
-// attempts that were given up, or with holes; the engine dies and another goes
-// on. The cause of a broken text would be an event passed on out of turn.
+// Guards against tokens lost, repeated or out of order when connections break and resume, events are duplicated, missing
+// or from abandoned attempts, and another engine continues the stream.
 func TestAssemblerPassesEachEventOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length = 30
@@ -20,14 +18,14 @@
 		bases := map[uint32]int{1: 0}
 		a.StartAttempt(1)
 		for len(got) < length {
-			from := rapid.SampledFrom([]uint32{attempt, attempt, attempt, max(1, attempt-1)}).Draw(t, "attempt")
-			at := rapid.IntRange(max(0, a.AttemptOffset()-2), a.AttemptOffset()+2).Draw(t, "offset")
-			switch a.Accept(from, at) {
+			attemptNumber := rapid.SampledFrom([]uint32{attempt, attempt, attempt, max(1, attempt-1)}).Draw(t, "attempt")
+			offset := rapid.IntRange(max(0, a.AttemptOffset()-2), a.AttemptOffset()+2).Draw(t, "offset")
+			switch a.Accept(attemptNumber, offset) {
 			case Next:
-				got = append(got, bases[from]+at)
+				got = append(got, bases[attemptNumber]+offset)
 			case Stale:
-				if from == attempt {
-					t.Fatal("an event of the current attempt was dropped as crossed")
+				if attemptNumber == attempt {
+					t.Fatal("an event of the current attempt was dropped as stale")
 				}
 			}
 			if rapid.IntRange(0, 9).Draw(t, "break") == 0 {
@@ -47,11 +45,11 @@
 func TestBuffer(t *testing.T) {
 	b := NewBuffer(5)
 	if b.Append(4, "x") || b.Append(6, "x") || !b.Append(5, "five") {
-		t.Error("only the next token may be added")
+		t.Error("Append must accept the next token and no other")
 	}
 	for offset, want := range map[int]bool{4: false, 5: true, 6: true, 7: false} {
 		if got := b.CanReadFrom(offset); got != want {
-			t.Errorf("holds %d: %v", offset, got)
+			t.Errorf("can read from %d: %v", offset, got)
 		}
 	}
 	b.Close(Finish{Reason: "length"})
