--- a/contract/limiter.go
+++ b/contract/limiter.go
@@ -1,7 +1,7 @@
-// Package contract holds each customer's limits at one entry. An entry
-// enforces its share of a limit, so no call crosses the network on the way of
-// a request; docs/design/contracts.md says how far over a limit a customer
-// can get.
+// Package contract enforces a customer's limits at one entry. Each entry
+// enforces its own share of a limit, so admitting a request needs no network
+// call; docs/design/contracts.md says by how much a customer can exceed a limit
+// as a result.
 package contract
 
 import (
@@ -10,15 +10,17 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits are a customer's limits over all entries; 0 is none.
+// Limits are a customer's limits, summed over all entries, or the share of them
+// that one entry enforces. A limit of 0 means no limit.
 type Limits struct {
 	RequestsPerSecond float64
 	TokensPerSecond   float64
 	Streams           int
 }
 
-// Share returns the part of l that one of entries enforces. Streams are
-// rounded up, so that every entry can serve at least one.
+// Share returns the part of l that each of the given number of entries enforces.
+// The limit of streams is rounded up, so that every entry can serve at least
+// one.
 func (l Limits) Share(entries int) Limits {
 	n := max(1, entries)
 	return Limits{
@@ -28,10 +30,10 @@
 	}
 }
 
-// Exceeded names the limit that a request met.
+// Exceeded names the limit that a request would exceed.
 type Exceeded string
 
-// The limits that a request can meet.
+// The limits that a request can exceed.
 const (
 	None     Exceeded = ""
 	Requests Exceeded = "requests"
@@ -39,10 +41,12 @@
 	Streams  Exceeded = "streams"
 )
 
-// burst is how long a customer may save its rate up.
-const burst = time.Second
+// burstWindow is the time over which unused rate accumulates: a bucket holds at
+// most what the rate yields in that time.
+const burstWindow = time.Second
 
-// Limiter is one customer's use at one entry. It is not safe for concurrent use.
+// Limiter tracks one customer's usage at one entry and enforces the entry's share
+// of the customer's limits. It is not safe for concurrent use.
 type Limiter struct {
 	limits   Limits
 	requests *rate.Limiter
@@ -50,78 +54,81 @@
 	streams  int
 }
 
-// NewLimiter returns an account under the given share of limits.
+// NewLimiter returns a limiter that enforces l, which must be a share already.
 func NewLimiter(l Limits) *Limiter {
-	a := &Limiter{requests: rate.NewLimiter(rate.Inf, 0), tokens: rate.NewLimiter(rate.Inf, 0)}
-	a.SetLimits(l, time.Time{})
-	return a
+	limiter := &Limiter{requests: rate.NewLimiter(rate.Inf, 0), tokens: rate.NewLimiter(rate.Inf, 0)}
+	limiter.SetLimits(l, time.Time{})
+	return limiter
 }
 
-// SetLimits changes the limits; use so far counts on.
-func (a *Limiter) SetLimits(l Limits, now time.Time) {
-	if l == a.limits && !now.IsZero() {
+// SetLimits changes the limits. Usage up to now still counts.
+func (limiter *Limiter) SetLimits(l Limits, now time.Time) {
+	if l == limiter.limits && !now.IsZero() {
 		return
 	}
-	a.limits = l
-	set(a.requests, l.RequestsPerSecond, now)
-	set(a.tokens, l.TokensPerSecond, now)
+	limiter.limits = l
+	setRate(limiter.requests, l.RequestsPerSecond, now)
+	setRate(limiter.tokens, l.TokensPerSecond, now)
 }
 
-func set(limiter *rate.Limiter, perSecond float64, now time.Time) {
-	if perSecond == 0 {
-		limiter.SetLimitAt(now, rate.Inf)
+func setRate(bucket *rate.Limiter, ratePerSecond float64, now time.Time) {
+	if ratePerSecond == 0 {
+		bucket.SetLimitAt(now, rate.Inf)
 		return
 	}
-	limiter.SetLimitAt(now, rate.Limit(perSecond))
-	limiter.SetBurstAt(now, max(1, int(perSecond*burst.Seconds())))
+	bucket.SetLimitAt(now, rate.Limit(ratePerSecond))
+	bucket.SetBurstAt(now, max(1, int(ratePerSecond*burstWindow.Seconds())))
 }
 
-// Acquire takes one request of tokens in, or says which limit it met and when
-// to come back. After None, End must follow.
-func (a *Limiter) Acquire(tokens int, now time.Time) (Exceeded, time.Duration) {
-	if a.limits.Streams > 0 && a.streams >= a.limits.Streams {
-		return Streams, burst
+// Acquire admits a request with the given number of prompt tokens, or returns
+// the limit that it would exceed and the time after which to retry. If it
+// returns None, the caller must call Release when the request ends.
+func (limiter *Limiter) Acquire(tokens int, now time.Time) (Exceeded, time.Duration) {
+	if limiter.limits.Streams > 0 && limiter.streams >= limiter.limits.Streams {
+		return Streams, burstWindow
 	}
-	if wait := peek(a.tokens, tokens, now); wait > 0 {
+	if wait := waitTime(limiter.tokens, tokens, now); wait > 0 {
 		return Tokens, wait
 	}
-	if wait := peek(a.requests, 1, now); wait > 0 {
+	if wait := waitTime(limiter.requests, 1, now); wait > 0 {
 		return Requests, wait
 	}
-	take(a.tokens, tokens, now)
-	take(a.requests, 1, now)
-	a.streams++
+	consume(limiter.tokens, tokens, now)
+	consume(limiter.requests, 1, now)
+	limiter.streams++
 	return None, 0
 }
 
-// peek returns how long n would have to wait. A request larger than the burst
-// passes once the bucket is full, and leaves it in debt.
-func peek(limiter *rate.Limiter, n int, now time.Time) time.Duration {
-	if limiter.Limit() == rate.Inf {
+// waitTime returns how long a request for the given units would have to wait. A
+// request larger than the bucket is admitted once the bucket is full, and leaves
+// it with a negative balance.
+func waitTime(bucket *rate.Limiter, units int, now time.Time) time.Duration {
+	if bucket.Limit() == rate.Inf {
 		return 0
 	}
-	missing := float64(min(n, limiter.Burst())) - limiter.TokensAt(now)
+	missing := float64(min(units, bucket.Burst())) - bucket.TokensAt(now)
 	if missing <= 0 {
 		return 0
 	}
-	return time.Duration(missing / float64(limiter.Limit()) * float64(time.Second))
+	return time.Duration(missing / float64(bucket.Limit()) * float64(time.Second))
 }
 
-func take(limiter *rate.Limiter, n int, now time.Time) {
-	if limiter.Limit() == rate.Inf {
+func consume(bucket *rate.Limiter, units int, now time.Time) {
+	if bucket.Limit() == rate.Inf {
 		return
 	}
-	for step := limiter.Burst(); n > 0; n -= step {
-		limiter.ReserveN(now, min(n, step))
+	for chunk := bucket.Burst(); units > 0; units -= chunk {
+		bucket.ReserveN(now, min(units, chunk))
 	}
 }
 
-// Charge charges tokens that became known after Begin, such as those generated.
-func (a *Limiter) Charge(tokens int, now time.Time) {
-	take(a.tokens, tokens, now)
+// Charge consumes tokens whose number became known only after Acquire, such as
+// generated ones.
+func (limiter *Limiter) Charge(tokens int, now time.Time) {
+	consume(limiter.tokens, tokens, now)
 }
 
-// Release ends one request that Begin took in.
-func (a *Limiter) Release() {
-	a.streams--
+// Release ends a request that Acquire admitted.
+func (limiter *Limiter) Release() {
+	limiter.streams--
 }
--- a/contract/limiter_test.go
+++ b/contract/limiter_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-var start = time.Unix(1000, 0)
+var t0 = time.Unix(1000, 0)
 
-func TestLimits(t *testing.T) {
-	a := NewLimiter(Limits{RequestsPerSecond: 2, TokensPerSecond: 100, Streams: 3}.Share(1))
+func TestRequestTokenAndStreamLimits(t *testing.T) {
+	limiter := NewLimiter(Limits{RequestsPerSecond: 2, TokensPerSecond: 100, Streams: 3}.Share(1))
 	expect := func(want Exceeded, tokens int, at time.Duration) {
 		t.Helper()
-		got, wait := a.Acquire(tokens, start.Add(at))
+		got, wait := limiter.Acquire(tokens, t0.Add(at))
 		if got != want || (want != None && wait <= 0) {
 			t.Errorf("%s after %v, want %s", got, wait, want)
 		}
@@ -22,22 +22,22 @@
 	expect(Tokens, 90, 0)
 	expect(None, 10, time.Second)
 	expect(Streams, 1, 5*time.Second)
-	a.Release()
+	limiter.Release()
 	expect(None, 1, 5*time.Second)
 }
 
-// A prompt larger than a second's tokens must pass once, and be paid off.
-func TestLargePrompt(t *testing.T) {
-	a := NewLimiter(Limits{TokensPerSecond: 100})
-	if got, _ := a.Acquire(500, start); got != None {
-		t.Fatalf("refused by %s", got)
+// Guards against a prompt larger than the bucket being refused forever, or admitted without counting against the rate.
+func TestPromptLargerThanBurstLeavesDebt(t *testing.T) {
+	limiter := NewLimiter(Limits{TokensPerSecond: 100})
+	if got, _ := limiter.Acquire(500, t0); got != None {
+		t.Fatalf("refused by the limit of %s", got)
 	}
-	if got, wait := a.Acquire(1, start.Add(time.Second)); got != Tokens || wait < 2*time.Second {
-		t.Errorf("%s after %v, want the debt to hold it back", got, wait)
+	if got, wait := limiter.Acquire(1, t0.Add(time.Second)); got != Tokens || wait < 2*time.Second {
+		t.Errorf("%s after %v, want the negative balance to delay it", got, wait)
 	}
 }
 
-// Shares of all entries together are the contract.
+// The shares of all entries add up to the limits; the share of streams is rounded up.
 func TestShare(t *testing.T) {
 	share := Limits{RequestsPerSecond: 30, TokensPerSecond: 90, Streams: 4}.Share(3)
 	if share.RequestsPerSecond != 10 || share.TokensPerSecond != 30 || share.Streams != 2 {
@@ -45,11 +45,11 @@
 	}
 }
 
-func TestChangedLimitsCountOn(t *testing.T) {
-	a := NewLimiter(Limits{RequestsPerSecond: 1})
-	a.Acquire(0, start)
-	a.SetLimits(Limits{RequestsPerSecond: 0.5}, start)
-	if got, _ := a.Acquire(0, start); got != Requests {
-		t.Error("a change of the limits forgave what was used")
+func TestSetLimitsKeepsUsage(t *testing.T) {
+	limiter := NewLimiter(Limits{RequestsPerSecond: 1})
+	limiter.Acquire(0, t0)
+	limiter.SetLimits(Limits{RequestsPerSecond: 0.5}, t0)
+	if got, _ := limiter.Acquire(0, t0); got != Requests {
+		t.Error("usage was lost when the limits changed")
 	}
 }
