--- a/link/link.go
+++ b/link/link.go
@@ -1,7 +1,7 @@
-// Package link holds the connections between the system's own processes: one
-// HTTP/2 connection for each peer, which is replaced as a whole once
-// it goes silent, since something between the ends may have lost track of it
-// while new connections work.
+// Package link manages the connections between the system's own processes: one
+// HTTP/2 connection per peer. A caller that gets no response replaces the whole
+// connection, since a device on the path may have lost its state for this
+// connection while new ones work.
 package link
 
 import (
@@ -15,26 +15,26 @@
 	"acaciakeel/api/keel/v1/keelv1connect"
 )
 
-// Options of all links of a process.
+// Options apply to all connections of a Pool.
 type Options struct {
-	// DialTimeout bounds the making of a connection. Default 500 ms.
+	// DialTimeout limits the time to establish a connection. Default 500 ms.
 	DialTimeout time.Duration
-	// WrapConn, where set, wraps each new connection, for TLS or counting.
+	// WrapConn, if set, wraps each new connection, for TLS or counting.
 	WrapConn func(net.Conn) net.Conn
 }
 
 const defaultDialTimeout = 500 * time.Millisecond
 
-// Pool holds the links of one process. It is safe for concurrent use.
+// Pool holds the peers of one process. It is safe for concurrent use.
 type Pool struct {
-	options Options
-	mu      sync.Mutex
-	peers   map[string]*Peer
-	sent    atomic.Int64
-	got     atomic.Int64
+	options       Options
+	mu            sync.Mutex
+	peers         map[string]*Peer
+	sentBytes     atomic.Int64
+	receivedBytes atomic.Int64
 }
 
-// NewPool returns a pool without links.
+// NewPool returns a pool without peers.
 func NewPool(o Options) *Pool {
 	if o.DialTimeout == 0 {
 		o.DialTimeout = defaultDialTimeout
@@ -42,37 +42,38 @@
 	return &Pool{options: o, peers: map[string]*Peer{}}
 }
 
-// Peer returns the link to the process at url, such as http://10.0.0.7:4100.
+// Peer returns the peer at url, such as http://10.0.0.7:4100. It is created on
+// first use; the connection is established by the first request.
 func (p *Pool) Peer(url string) *Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	peer := p.peers[url]
 	if peer == nil {
 		peer = &Peer{pool: p, url: url}
-		peer.clients.Store(peer.connect())
+		peer.clients.Store(peer.newClients())
 		p.peers[url] = peer
 	}
 	return peer
 }
 
-// Bytes returns the bytes sent and received over all links.
+// Bytes returns the number of bytes sent and received over all connections.
 func (p *Pool) Bytes() (sent, received int64) {
-	return p.sent.Load(), p.got.Load()
+	return p.sentBytes.Load(), p.receivedBytes.Load()
 }
 
-// Clients are the services of a peer over one connection.
+// Clients are the RPC clients of a peer's services, which share one connection.
 type Clients struct {
 	Agent     keelv1connect.AgentServiceClient
 	Config    keelv1connect.ConfigServiceClient
 	transport *http.Transport
 }
 
-// Peer is the link to one process.
+// Peer is another process of the system and the connection to it.
 type Peer struct {
-	pool    *Pool
-	url     string
-	clients atomic.Pointer[Clients]
-	renewed atomic.Int64
+	pool       *Pool
+	url        string
+	clients    atomic.Pointer[Clients]
+	reconnects atomic.Int64
 }
 
 // URL returns the peer's address.
@@ -85,24 +86,25 @@
 	return p.clients.Load()
 }
 
-// Reconnect gives the peer a new connection if c is still its current one.
-// Requests on the old connection run on until they end or are canceled; no
-// new one joins them there.
-func (p *Peer) Reconnect(c *Clients) {
-	fresh := p.connect()
-	if !p.clients.CompareAndSwap(c, fresh) {
+// Reconnect replaces the peer's connection if it is still the one of old, so that
+// several callers that see the same failure replace it once. Requests on the old
+// connection continue until they end or are canceled; new ones use the new
+// connection.
+func (p *Peer) Reconnect(old *Clients) {
+	replacement := p.newClients()
+	if !p.clients.CompareAndSwap(old, replacement) {
 		return
 	}
-	p.renewed.Add(1)
-	c.transport.CloseIdleConnections()
+	p.reconnects.Add(1)
+	old.transport.CloseIdleConnections()
 }
 
-// Reconnects returns how often the connection was replaced.
+// Reconnects returns the number of times the connection was replaced.
 func (p *Peer) Reconnects() int64 {
-	return p.renewed.Load()
+	return p.reconnects.Load()
 }
 
-func (p *Peer) connect() *Clients {
+func (p *Peer) newClients() *Clients {
 	dialer := net.Dialer{Timeout: p.pool.options.DialTimeout}
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
@@ -113,9 +115,9 @@
 			if err != nil {
 				return nil, err
 			}
-			return p.pool.wrap(conn), nil
+			return p.pool.wrapConn(conn), nil
 		},
-		// An HTTP/2 ping finds a dead connection that carries nothing.
+		// HTTP/2 pings detect a dead connection that is idle.
 		HTTP2:              &http.HTTP2Config{SendPingTimeout: 5 * time.Second, PingTimeout: 2 * time.Second},
 		DisableCompression: true,
 	}
@@ -127,33 +129,33 @@
 	}
 }
 
-func (p *Pool) wrap(conn net.Conn) net.Conn {
+func (p *Pool) wrapConn(conn net.Conn) net.Conn {
 	if p.options.WrapConn != nil {
 		conn = p.options.WrapConn(conn)
 	}
-	return &countedConn{Conn: conn, pool: p}
+	return &countingConn{Conn: conn, pool: p}
 }
 
-// countedConn counts the bytes on the wire, headers and all.
-type countedConn struct {
+// countingConn counts the bytes sent and received, including headers.
+type countingConn struct {
 	net.Conn
 	pool *Pool
 }
 
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.pool.got.Add(int64(n))
+	c.pool.receivedBytes.Add(int64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.pool.sent.Add(int64(n))
+	c.pool.sentBytes.Add(int64(n))
 	return n, err
 }
 
-// NewServer returns an HTTP server for the system's own messages and for
-// ordinary HTTP on one port.
+// NewServer returns an HTTP server that accepts unencrypted HTTP/2, for the
+// system's internal RPCs, and HTTP/1 on the same port.
 func NewServer(handler http.Handler) *http.Server {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
