--- a/ledger/fresh.go
+++ b/ledger/fresh.go
@@ -6,8 +6,8 @@
 	"github.com/google/uuid"
 )
 
-// KeyTime returns the creation time embedded in a key. Only UUIDv7 keys carry
-// one; ok is false for all others.
+// KeyTime returns the creation time embedded in a key, or false if there is none.
+// Only UUIDv7 keys carry one.
 func KeyTime(key string) (time.Time, bool) {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -156,7 +156,8 @@
 	return Run, r
 }
 
-// evictable reports whether r can be removed without allowing a second send.
+// evictable reports whether r need not be kept to prevent a second send: a claim
+// protects its call, no caller has its key, or this process did not send it.
 func (r *Record) evictable() bool {
 	return r.Claimed || r.GeneratedKey || r.State == NotRun || r.State == Unsent
 }
