--- a/node/digest_test.go
+++ b/node/digest_test.go
@@ -22,7 +22,7 @@
 
 // hall is many nodes whose datagrams are carried by hand: no network, no store.
 type hall struct {
-	nodes []*pulse
+	nodes []*peerExchange
 	// got counts the datagrams that each node got; away are those that get none.
 	got  map[int]int
 	away map[int]bool
@@ -32,7 +32,7 @@
 	h := &hall{got: map[int]int{}, away: map[int]bool{}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	keys := ownKeysOf()
+	keys := newSystemKeys()
 	address := func(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/200, i%200+1) }
 	at := map[netip.AddrPort]int{}
 	for i := range n {
@@ -42,16 +42,16 @@
 		f := fleet.New("z0")
 		f.Put(fleet.Runner{ID: "r", Service: "lm", Address: "r:1", Weights: map[string]int64{model: 1}})
 		name := fmt.Sprintf("n%d/x", own)
-		v := &view{fleet: f, limitBook: testBook(), targetBook: testBook(), log: log, keys: keys, self: keys.members + name, members: map[string]peering.Member{}}
+		v := &view{fleet: f, customerLimiter: testBook(), targetLimiter: testBook(), log: log, keys: keys, self: keys.members + name, members: map[string]peering.Member{}}
 		for other := range n {
-			v.enlist(fmt.Sprintf("%sn%d/x", keys.members, other), string(memberValue(address(other), fmt.Sprintf("z%d", other%5))))
+			v.setMember(fmt.Sprintf("%sn%d/x", keys.members, other), string(encodeMember(address(other), fmt.Sprintf("z%d", other%5))))
 		}
 		v.follower = follow.New(nil, "", follow.Options{}, nil, log)
-		p := newPulse(name, f, poison.New(nil), v, log)
+		p := newPeerExchange(name, f, poison.New(nil), v, log)
 		p.write = func(datagram []byte, to netip.AddrPort) {
 			if i, ok := at[to]; ok && !h.away[i] {
 				h.got[i]++
-				h.nodes[i].take(datagram, netip.MustParseAddrPort(address(own)))
+				h.nodes[i].handle(datagram, netip.MustParseAddrPort(address(own)))
 			}
 		}
 		h.nodes = append(h.nodes, p)
@@ -66,7 +66,7 @@
 			p.send(p.view.plan())
 		}
 	}
-	time.Sleep(digestEvery + 5*time.Millisecond)
+	time.Sleep(digestInterval + 5*time.Millisecond)
 }
 
 // At a hundred entries each knew a tenth of the others' load. Here one entry sends a
@@ -111,8 +111,8 @@
 			h.away[i] = true
 		}
 	}
-	time.Sleep(heardWithin)
-	by := slices.IndexFunc(h.nodes, func(p *pulse) bool {
+	time.Sleep(relayTimeout)
+	by := slices.IndexFunc(h.nodes, func(p *peerExchange) bool {
 		return p.view.plan().Group == h.nodes[0].view.plan().Group && p.view.self != link.Relays[0]
 	})
 	h.nodes[by].fleet.Begin(fleet.Life{ID: "r"}, fleet.Stay{Missing: 900, Prompt: 900}, time.Now())
@@ -132,7 +132,7 @@
 func TestDigestsAreBounded(t *testing.T) {
 	members := make([]peering.Member, 300)
 	for i := range members {
-		members[i] = peering.Member{Key: fmt.Sprintf("%sn%d/x", ownKeysOf().members, i), Address: "10.0.0.1:7000"}
+		members[i] = peering.Member{Key: fmt.Sprintf("%sn%d/x", newSystemKeys().members, i), Address: "10.0.0.1:7000"}
 	}
 	var plan peering.Plan
 	for _, m := range members {
@@ -141,7 +141,7 @@
 		}
 	}
 	for _, loaded := range []int{0, 200, 3000} {
-		var d digest
+		var d groupRelay
 		now, sent, loads, kept := time.Unix(1000, 0), 0, 0, 0
 		begun := now
 		for now.Sub(begun) < 10*time.Second {
@@ -149,8 +149,8 @@
 			for i := range 200 {
 				all.Caches = append(all.Caches, fleet.CacheNews{Address: "10.0.0.1:80", Boot: 1, Next: now.UnixMilli() + int64(i), Dropped: make([]uint64, 20)})
 			}
-			d.collect(plan, all)
-			for _, l := range d.due(plan, now) {
+			d.addOwn(plan, all)
+			for _, l := range d.dueLinks(plan, now) {
 				if l.group != plan.Links[0].Group {
 					continue
 				}
@@ -158,9 +158,9 @@
 				for i := range loaded {
 					load = append(load, fleet.Occupancy{Target: fleet.Life{ID: fmt.Sprintf("i-%010d", i)}, Inflight: 3, Prefill: 900})
 				}
-				told := d.take(l, load)
+				told := d.takePending(l, load)
 				loads, kept = loads+len(told.Loads), kept+len(told.Caches)
-				datagrams, err := told.Datagrams("n", l.label(plan))
+				datagrams, err := told.Datagrams("n", l.header(plan))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -168,7 +168,7 @@
 					sent += len(datagram)
 				}
 			}
-			now = now.Add(pulsePause(plan, 0))
+			now = now.Add(updateInterval(plan, 0))
 		}
 		if rate := sent * (plan.GroupCount - 1) / 10; float64(rate) > 1.2*digestRate {
 			t.Errorf("%d targets with load: one hears %d bytes a second from the other groups", loaded, rate)
@@ -187,7 +187,7 @@
 	for i := range 160 {
 		c.Events.Events = append(c.Events.Events, store.Event{Entry: store.Entry{Key: fmt.Sprintf("servers/%d", i), Value: make([]byte, 90), Revision: 101 + int64(i/2)}})
 	}
-	pieces, ok := divideChanges(c)
+	pieces, ok := splitChanges(c)
 	if !ok || len(pieces) < 10 {
 		t.Fatalf("%d pieces, told: %v", len(pieces), ok)
 	}
@@ -209,8 +209,8 @@
 	if after != 1000 || events != 160 {
 		t.Errorf("%d changes up to revision %d were told", events, after)
 	}
-	c.Events.Events[5].Value = make([]byte, changesMost)
-	if _, ok := divideChanges(c); ok {
+	c.Events.Events[5].Value = make([]byte, maxSharedBytes)
+	if _, ok := splitChanges(c); ok {
 		t.Error("a value of the size of a whole configuration is told to everybody")
 	}
 }
@@ -223,7 +223,7 @@
 	ended := fleet.Life{ID: "ended", Born: 1}
 	fresh := h.nodes[4]
 	for _, p := range h.nodes[:4] {
-		p.view.enlist(fresh.view.self, "")
+		p.view.setMember(fresh.view.self, "")
 	}
 	h.nodes[0].table.RecordBrokenResponse(c, ended, time.Now(), time.Now())
 	h.nodes[0].table.RecordCrash(ended, time.Now())
--- a/node/figures.go
+++ b/node/figures.go
@@ -9,14 +9,14 @@
 	"acaciakeel/clock"
 )
 
-// figuresEvery is how often what was learnt of the engines is logged: often enough
+// engineStatsInterval is how often what was learnt of the engines is logged: often enough
 // to explain a choice, and six lines a minute for each service.
-const figuresEvery = 10 * time.Second
+const engineStatsInterval = 10 * time.Second
 
-// logFigures logs what the choices of the next seconds rest on.
-func (n *Node) logFigures(ctx context.Context) {
+// logEngineStats logs what the choices of the next seconds rest on.
+func (n *Node) logEngineStats(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, figuresEvery)
+		clock.Sleep(ctx, engineStatsInterval)
 		for service, f := range n.view.fleet.Figures(time.Now()) {
 			loads := n.view.fleet.Loads(service)
 			n.log.WithFields(logrus.Fields{
--- a/node/foreign.go
+++ b/node/foreign.go
@@ -14,156 +14,156 @@
 	"acaciakeel/telemetry"
 )
 
-// foreign are the entries of the store that name nothing to use: those of other
+// skippedEntries are the entries of the store that name nothing to use: those of other
 // writers that can't be decoded, and those of services that no configuration has
 // named yet. Taken as they are, one of them would get requests that can't be
 // served there; refused as a whole, one would hide all entries beside it.
-type foreign struct {
+type skippedEntries struct {
 	log   logrus.FieldLogger
 	count *prometheus.CounterVec
 
 	mu sync.Mutex
-	// said is the revision of each entry at which it was left out, so that a
+	// loggedRevisions is the revision of each entry at which it was left out, so that a
 	// listing that finds it again says nothing new.
-	said map[string]int64
-	// named are the services that configurations have named in the life of the
-	// process; nil before the first. One that is named no more keeps its targets:
+	loggedRevisions map[string]int64
+	// knownServices are the services that configurations have knownServices in the life of the
+	// process; nil before the first. One that is knownServices no more keeps its targets:
 	// no route leads there, but requests under way may still be sent again.
-	named map[string]bool
-	// unnamed are the targets of the other services, by id.
-	unnamed map[string]unnamed
+	knownServices map[string]bool
+	// pending are the targets of the other services, by id.
+	pending map[string]pendingTarget
 }
 
-// unnamed is a sound entry that waits for a configuration to name its service.
-type unnamed struct {
+// pendingTarget is a sound entry that waits for a configuration to name its service.
+type pendingTarget struct {
 	runner   fleet.Runner
 	revision int64
 }
 
-func newForeign(r *prometheus.Registry, log logrus.FieldLogger) *foreign {
-	return &foreign{
-		log:     log,
-		count:   telemetry.NewCounter(r, "keel_node_entries_left_out_total", "Entries of the store left out, by reason.", "reason"),
-		said:    map[string]int64{},
-		unnamed: map[string]unnamed{},
+func newSkippedEntries(r *prometheus.Registry, log logrus.FieldLogger) *skippedEntries {
+	return &skippedEntries{
+		log:             log,
+		count:           telemetry.NewCounter(r, "keel_node_entries_left_out_total", "Entries of the store left out, by reason.", "reason"),
+		loggedRevisions: map[string]int64{},
+		pending:         map[string]pendingTarget{},
 	}
 }
 
-// say logs and counts an entry that is left out, once a change of it.
-func (f *foreign) say(e platform.LeftOut) {
+// report logs and counts an entry that is left out, once a change of it.
+func (f *skippedEntries) report(e platform.LeftOut) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if revision, ok := f.said[e.Key]; ok && revision == e.Revision {
+	if revision, ok := f.loggedRevisions[e.Key]; ok && revision == e.Revision {
 		return
 	}
-	f.said[e.Key] = e.Revision
+	f.loggedRevisions[e.Key] = e.Revision
 	f.count.WithLabelValues(string(e.Fault.Reason)).Inc()
 	f.log.WithError(e.Fault).WithFields(logrus.Fields{"event": "entry_left_out", "key": e.Key, "reason": e.Fault.Reason, "revision": e.Revision}).Warn("an entry of the store names nothing to use until it changes")
 }
 
-// release ends the waiting of a target's entry.
-func (f *foreign) release(id string) {
+// removePending ends the waiting of a target's entry.
+func (f *skippedEntries) removePending(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.unnamed, id)
+	delete(f.pending, id)
 }
 
-// forget forgets what was said of an entry that is there no more, or good again.
-func (f *foreign) forget(key string) {
+// clear forgets what was said of an entry that is there no more, or good again.
+func (f *skippedEntries) clear(key string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.said, key)
+	delete(f.loggedRevisions, key)
 }
 
-// relisted forgets the entries below a prefix that a listing did not find.
-func (f *foreign) relisted(prefix string, there func(key string) bool) {
+// prune forgets the entries below a prefix that a listing did not find.
+func (f *skippedEntries) prune(prefix string, listed func(key string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for key := range f.said {
-		if strings.HasPrefix(key, prefix) && !there(key) {
-			delete(f.said, key)
+	for key := range f.loggedRevisions {
+		if strings.HasPrefix(key, prefix) && !listed(key) {
+			delete(f.loggedRevisions, key)
 		}
 	}
-	for id := range f.unnamed {
-		if key := platform.TargetKey(id); strings.HasPrefix(key, prefix) && !there(key) {
-			delete(f.unnamed, id)
+	for id := range f.pending {
+		if key := platform.TargetKey(id); strings.HasPrefix(key, prefix) && !listed(key) {
+			delete(f.pending, id)
 		}
 	}
 }
 
-// hold keeps a target's entry and returns true if its service is not named yet.
+// holdPending keeps a target's entry and returns true if its service is not named yet.
 // told is set where a configuration has come, by which it can be judged.
-func (f *foreign) hold(r fleet.Runner, revision int64) (held, told bool) {
+func (f *skippedEntries) holdPending(r fleet.Runner, revision int64) (waiting, judged bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.named[r.Service] {
+	if f.knownServices[r.Service] {
 		return false, true
 	}
-	f.unnamed[r.ID] = unnamed{runner: r, revision: revision}
-	return true, f.named != nil
+	f.pending[r.ID] = pendingTarget{runner: r, revision: revision}
+	return true, f.knownServices != nil
 }
 
-// name takes the services that a configuration names. It returns the targets that
+// addServices takes the services that a configuration names. It returns the targets that
 // become usable by it, and those that still don't.
-func (f *foreign) name(services map[string]*catalog.Service) (usable, still []unnamed) {
+func (f *skippedEntries) addServices(services map[string]*catalog.Service) (usable, unknown []pendingTarget) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.named == nil {
-		f.named = map[string]bool{}
+	if f.knownServices == nil {
+		f.knownServices = map[string]bool{}
 	}
 	for name := range services {
-		f.named[name] = true
+		f.knownServices[name] = true
 	}
-	for id, u := range f.unnamed {
-		if f.named[u.runner.Service] {
+	for id, u := range f.pending {
+		if f.knownServices[u.runner.Service] {
 			usable = append(usable, u)
-			delete(f.unnamed, id)
+			delete(f.pending, id)
 		} else {
-			still = append(still, u)
+			unknown = append(unknown, u)
 		}
 	}
-	return usable, still
+	return usable, unknown
 }
 
-// known reports whether a target's service is one that the configuration names.
+// serviceKnown reports whether a target's service is one that the configuration names.
 // If not, the target is used no more; its entry waits for a configuration that does.
-func (v *view) known(r fleet.Runner, revision int64) bool {
-	held, told := v.foreign.hold(r, revision)
-	if !held {
-		v.foreign.release(r.ID)
-		v.foreign.forget(platform.TargetKey(r.ID))
+func (v *view) serviceKnown(r fleet.Runner, revision int64) bool {
+	waiting, judged := v.skipped.holdPending(r, revision)
+	if !waiting {
+		v.skipped.removePending(r.ID)
+		v.skipped.clear(platform.TargetKey(r.ID))
 		return true
 	}
-	v.end(r.ID)
-	if told {
-		v.sayUnnamed(unnamed{runner: r, revision: revision})
+	v.removeTarget(r.ID)
+	if judged {
+		v.reportUnknownService(pendingTarget{runner: r, revision: revision})
 	}
 	return false
 }
 
-func (v *view) sayUnnamed(u unnamed) {
-	v.foreign.say(platform.LeftOut{
+func (v *view) reportUnknownService(u pendingTarget) {
+	v.skipped.report(platform.LeftOut{
 		Key: platform.TargetKey(u.runner.ID), Revision: u.revision,
 		Fault: &platform.Fault{Reason: platform.UnknownService, Field: u.runner.Service},
 	})
 }
 
-// name takes in the targets whose services a configuration has come to name.
-func (v *view) name(services map[string]*catalog.Service) {
-	usable, still := v.foreign.name(services)
+// activatePending takes in the targets whose services a configuration has come to activatePending.
+func (v *view) activatePending(services map[string]*catalog.Service) {
+	usable, unknown := v.skipped.addServices(services)
 	for _, u := range usable {
 		v.Listed(u.runner, u.revision)
 	}
-	for _, u := range still {
-		v.sayUnnamed(u)
+	for _, u := range unknown {
+		v.reportUnknownService(u)
 	}
 }
 
-// end takes a target out whose entry is there and can't be used. Its writer has
+// removeTarget takes a target out whose entry is there and can't be used. Its writer has
 // reached the store, so an outage before excuses nothing.
-func (v *view) end(id string) {
+func (v *view) removeTarget(id string) {
 	v.mu.Lock()
-	v.stay(id)
+	v.cancelRemoval(id)
 	v.mu.Unlock()
 	v.fleet.Remove(id)
 }
@@ -171,27 +171,27 @@
 // LeftOut implements platform.View.
 func (v *view) LeftOut(e platform.LeftOut) {
 	if id, ok := platform.TargetOf(e.Key); ok {
-		v.foreign.release(id)
-		v.end(id)
+		v.skipped.removePending(id)
+		v.removeTarget(id)
 	}
 	if strings.HasPrefix(e.Key, v.keys.members) {
-		v.enlist(e.Key, "")
+		v.setMember(e.Key, "")
 	}
-	if e.Key == v.keys.seat {
-		v.seat.ObserveForeign(e.Revision)
-		v.holder.Wake()
+	if e.Key == v.keys.leader {
+		v.leaderLock.ObserveForeign(e.Revision)
+		v.controller.Wake()
 	}
-	v.foreign.say(e)
+	v.skipped.report(e)
 }
 
-// memberFault returns what is wrong with the entry of a member, or nil. One whose
+// validateMember returns what is wrong with the entry of a member, or nil. One whose
 // address can't be read would be counted among those that share the work, and be
 // logged with each pulse.
-func (v *view) memberFault(key, value string) *platform.Fault {
-	if !isName(strings.TrimPrefix(key, v.keys.members)) {
+func (v *view) validateMember(key, value string) *platform.Fault {
+	if !isInstanceName(strings.TrimPrefix(key, v.keys.members)) {
 		return &platform.Fault{Reason: platform.BadKey}
 	}
-	at, err := netip.ParseAddrPort(readMember(key, value).Address)
+	at, err := netip.ParseAddrPort(decodeMember(key, value).Address)
 	if err != nil || at.Port() == 0 {
 		return &platform.Fault{Reason: platform.BadValue, Field: "address", Err: err}
 	}
--- a/node/foreign_test.go
+++ b/node/foreign_test.go
@@ -84,7 +84,7 @@
 // counted returns the metric of entries left out for a reason.
 func (w *world) counted(reason string) string {
 	w.t.Helper()
-	resp, err := http.Get("http://" + w.node.doors.metrics.Address() + "/metrics")
+	resp, err := http.Get("http://" + w.node.listeners.metrics.Address() + "/metrics")
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 	if v := w.node.view.Config().Version; v != int64(w.version) {
 		t.Errorf("configuration %d is in force, want the last good one", v)
 	}
-	if told := w.node.view.plan().Peers; len(told) != 0 || w.node.view.others() != 0 {
+	if told := w.node.view.plan().Peers; len(told) != 0 || w.node.view.otherCount() != 0 {
 		t.Errorf("the node tells %v", told)
 	}
 }
--- a/node/leavers.go
+++ b/node/leavers.go
@@ -9,23 +9,23 @@
 	"acaciakeel/pulses"
 )
 
-// leavers are the members that left lately. A process that stops is no member any more
+// departedMembers are the members that left lately. A process that stops is no member any more
 // and serves for seconds yet, and with others that stop it has nobody who is: what ends
 // targets would count anew at each of them.
-type leavers map[string]leaver
+type departedMembers map[string]departedMember
 
-type leaver struct {
+type departedMember struct {
 	peering.Member
 	at time.Time
 }
 
-// left notes that a member's entry is gone.
-func (l leavers) left(m peering.Member, now time.Time) {
-	l[m.Key] = leaver{m, now}
+// add notes that a member's entry is gone.
+func (l departedMembers) add(m peering.Member, now time.Time) {
+	l[m.Key] = departedMember{m, now}
 }
 
-// forget forgets those that have been gone for as long as a process may take to stop.
-func (l leavers) forget(grace time.Duration, now time.Time) {
+// expire forgets those that have been gone for as long as a process may take to stop.
+func (l departedMembers) expire(grace time.Duration, now time.Time) {
 	for key, m := range l {
 		if now.Sub(m.at) > grace {
 			delete(l, key)
@@ -33,15 +33,15 @@
 	}
 }
 
-// aside returns the processes that this one tells of suspects beside its peers: those
+// extraRecipients returns the processes that this one tells of suspects beside its peers: those
 // that left lately and, where it is no member itself, all members, which don't know that
 // it is still there.
-func (v *view) aside(now time.Time) []peering.Member {
+func (v *view) extraRecipients(now time.Time) []peering.Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.leavers.forget(v.grace, now)
+	v.departed.expire(v.grace, now)
 	var out []peering.Member
-	for _, l := range v.leavers {
+	for _, l := range v.departed {
 		out = append(out, l.Member)
 	}
 	if _, enrolled := v.members[v.self]; enrolled {
@@ -53,24 +53,24 @@
 	return out
 }
 
-// meetAside has all that is held told once more where there is somebody new among those
+// resendToNewRecipients has all that is held told once more where there is somebody new among those
 // that are told aside.
-func (p *pulse) meetAside(aside []peering.Member, now time.Time) {
-	met := make(map[string]bool, len(aside))
-	for _, m := range aside {
-		met[m.Key] = true
-		if !p.asideMet[m.Key] {
-			p.retell(now)
+func (p *peerExchange) resendToNewRecipients(extra []peering.Member, now time.Time) {
+	known := make(map[string]bool, len(extra))
+	for _, m := range extra {
+		known[m.Key] = true
+		if !p.knownExtra[m.Key] {
+			p.resendState(now)
 		}
 	}
-	p.asideMet = met
+	p.knownExtra = known
 }
 
-// tellAside tells those beside the peers of suspects, and of namings where no member
+// sendExtra tells those beside the peers of suspects, and of namings where no member
 // tells whoever starts, and returns how many it told.
-func (p *pulse) tellAside(all pulses.Update, aside []peering.Member, enrolled bool) int {
+func (p *peerExchange) sendExtra(all pulses.Update, extra []peering.Member, joined bool) int {
 	message := &keelv1.Pulse{Sender: p.name, Suspects: pulses.EncodeSuspects(all.Suspects)}
-	if !enrolled {
+	if !joined {
 		message.Namings = pulses.EncodeNamings(all.Namings)
 		message.Limits = pulses.EncodeLimits(all.Limits)[0]
 	}
@@ -82,42 +82,42 @@
 		p.log.WithError(err).WithField("event", "pulse_failed").Error("entries that stop count suspects by themselves")
 		return 0
 	}
-	p.sendTo(addressesOf(aside), datagram)
-	return len(aside)
+	p.sendTo(addressesOf(extra), datagram)
+	return len(extra)
 }
 
-// enlist notes a member's entry; an empty one is its end.
-func (v *view) enlist(key, value string) {
+// setMember notes a member's entry; an empty one is its end.
+func (v *view) setMember(key, value string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if value == "" {
-		v.unlist(key)
+		v.removeMember(key)
 	} else {
-		delete(v.leavers, key)
-		v.members[key] = readMember(key, value)
+		delete(v.departed, key)
+		v.members[key] = decodeMember(key, value)
 	}
 	v.membersChanged()
 }
 
-// unlist takes a member out whose entry is gone; the caller holds mu.
-func (v *view) unlist(key string) {
+// removeMember takes a member out whose entry is gone; the caller holds mu.
+func (v *view) removeMember(key string) {
 	if m, ok := v.members[key]; ok && key != v.self {
-		if v.leavers == nil {
-			v.leavers = leavers{}
+		if v.departed == nil {
+			v.departed = departedMembers{}
 		}
-		v.leavers.left(m, time.Now())
+		v.departed.add(m, time.Now())
 	}
 	delete(v.members, key)
 }
 
-// memberValue is a member's entry: the address at which it hears the others, and
+// encodeMember is a member's entry: the address at which it hears the others, and
 // its zone.
-func memberValue(address, zone string) []byte {
+func encodeMember(address, zone string) []byte {
 	return []byte(address + " " + zone)
 }
 
-// readMember reads a member's entry. One of an earlier version names no zone.
-func readMember(key, value string) peering.Member {
+// decodeMember reads a member's entry. One of an earlier version names no zone.
+func decodeMember(key, value string) peering.Member {
 	address, zone, _ := strings.Cut(value, " ")
 	return peering.Member{Key: key, Address: address, Zone: zone}
 }
--- a/node/leavers_test.go
+++ b/node/leavers_test.go
@@ -13,7 +13,7 @@
 		w.t.Cleanup(func() { <-stopped })
 	}
 	for _, n := range nodes {
-		w.until("no member is left", func() bool { return n.view.others() == 0 })
+		w.until("no member is left", func() bool { return n.view.otherCount() == 0 })
 	}
 }
 
--- a/node/limits.go
+++ b/node/limits.go
@@ -22,14 +22,14 @@
 	"acaciakeel/telemetry"
 )
 
-// takeLimits takes what a datagram tells of limits.
-func (p *pulse) takeLimits(message *keelv1.Pulse, now time.Time) {
-	p.takeUses(p.view.limitBook, message, message.Limits, now)
-	p.takeUses(p.view.targetBook, message, message.TargetLimits, now)
+// receiveLimits takes what a datagram tells of limits.
+func (p *peerExchange) receiveLimits(message *keelv1.Pulse, now time.Time) {
+	p.receiveUsage(p.view.customerLimiter, message, message.Limits, now)
+	p.receiveUsage(p.view.targetLimiter, message, message.TargetLimits, now)
 }
 
-// takeUses takes what a datagram tells of the uses of one book.
-func (p *pulse) takeUses(b *quota.Limiter, message *keelv1.Pulse, w *keelv1.LimitNews, now time.Time) {
+// receiveUsage takes what a datagram tells of the uses of one book.
+func (p *peerExchange) receiveUsage(b *quota.Limiter, message *keelv1.Pulse, w *keelv1.LimitNews, now time.Time) {
 	if w == nil {
 		return
 	}
@@ -41,83 +41,83 @@
 	b.ApplyPeerUpdate(n, now)
 }
 
-// countMembers has the limits shared among as many processes as serve: of one node's
+// updateLimitMembers has the limits shared among as many processes as serve: of one node's
 // starts the former have ended. The caller holds mu.
-func (v *view) countMembers() {
-	nodes := map[string]bool{nodeOf(v.self): true}
+func (v *view) updateLimitMembers() {
+	nodes := map[string]bool{nodeKey(v.self): true}
 	for key := range v.members {
-		nodes[nodeOf(key)] = true
+		nodes[nodeKey(key)] = true
 	}
-	v.limitBook.SetMembers(len(nodes))
-	v.targetBook.SetMembers(len(nodes))
+	v.customerLimiter.SetMembers(len(nodes))
+	v.targetLimiter.SetMembers(len(nodes))
 }
 
-// nodeOf returns what all starts of one node have in common in their members' keys.
-func nodeOf(key string) string {
+// nodeKey returns what all starts of one node have in common in their members' keys.
+func nodeKey(key string) string {
 	return key[:max(0, strings.LastIndexByte(key, '/'))]
 }
 
 // Figures of the count of entries that the store keeps.
 const (
-	// countEvery is how often it is compared with the members.
-	countEvery = time.Second
-	// fewerFor is for how long there must be fewer before the count is lowered: a day's
+	// nodeCountInterval is how often it is compared with the members.
+	nodeCountInterval = time.Second
+	// nodeCountLowerDelay is for how long there must be fewer before the count is lowered: a day's
 	// restarts and failures must not make it forget how many come back.
-	fewerFor = 30 * time.Second
-	// countMost bounds a count that is believed.
-	countMost = 100_000
+	nodeCountLowerDelay = 30 * time.Second
+	// maxNodeCount bounds a count that is believed.
+	maxNodeCount = 100_000
 )
 
-// entryCount is how many entries there have been lately, as the store keeps it. After
+// nodeCount is how many entries there have been lately, as the store keeps it. After
 // all were killed at once each would take itself for the only one until it has heard of
 // the others, and let in all that a limit allows.
-type entryCount struct {
+type nodeCount struct {
 	stored, revision int64
-	fewerSince       time.Time
+	belowSince       time.Time
 }
 
-// counted takes the count from the store.
-func (v *view) counted(value string, revision int64) {
+// setNodeCount takes the count from the store.
+func (v *view) setNodeCount(value string, revision int64) {
 	n, err := strconv.ParseInt(value, 10, 64)
-	if value != "" && (err != nil || n < 1 || n > countMost) {
-		v.LeftOut(platform.LeftOut{Key: v.keys.count, Revision: revision, Fault: &platform.Fault{Reason: platform.BadValue}})
+	if value != "" && (err != nil || n < 1 || n > maxNodeCount) {
+		v.LeftOut(platform.LeftOut{Key: v.keys.nodeCount, Revision: revision, Fault: &platform.Fault{Reason: platform.BadValue}})
 		return
 	}
-	v.foreign.forget(v.keys.count)
+	v.skipped.clear(v.keys.nodeCount)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.count.stored, v.count.revision = n, revision
-	v.limitBook.SetRecentMembers(int(n))
-	v.targetBook.SetRecentMembers(int(n))
+	v.nodeCount.stored, v.nodeCount.revision = n, revision
+	v.customerLimiter.SetRecentMembers(int(n))
+	v.targetLimiter.SetRecentMembers(int(n))
 }
 
-// dueCount returns the count that the store should have, and whether it has another.
-func (v *view) dueCount(now time.Time) (n, revision int64, due bool) {
+// pendingNodeCount returns the count that the store should have, and whether it has another.
+func (v *view) pendingNodeCount(now time.Time) (n, revision int64, due bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	n = int64(len(v.members))
 	switch {
-	case n >= v.count.stored:
-		v.count.fewerSince = now
-		return n, v.count.revision, n > v.count.stored
-	case now.Sub(v.count.fewerSince) < fewerFor:
+	case n >= v.nodeCount.stored:
+		v.nodeCount.belowSince = now
+		return n, v.nodeCount.revision, n > v.nodeCount.stored
+	case now.Sub(v.nodeCount.belowSince) < nodeCountLowerDelay:
 		return 0, 0, false
 	}
-	return n, v.count.revision, true
+	return n, v.nodeCount.revision, true
 }
 
-// keepCount keeps the store's count of entries while this node holds the seat.
-func (n *Node) keepCount(ctx context.Context) {
+// maintainNodeCount keeps the store's count of entries while this node holds the seat.
+func (n *Node) maintainNodeCount(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, countEvery)
-		if _, held := n.view.seat.Held(); !held || n.view.follower.Disconnected() {
+		clock.Sleep(ctx, nodeCountInterval)
+		if _, held := n.view.leaderLock.Held(); !held || n.view.follower.Disconnected() {
 			continue
 		}
-		count, revision, due := n.view.dueCount(time.Now())
+		count, revision, due := n.view.pendingNodeCount(time.Now())
 		if !due {
 			continue
 		}
-		_, err := n.store.Put(ctx, n.view.keys.count, []byte(strconv.FormatInt(count, 10)), revision, "")
+		_, err := n.store.Put(ctx, n.view.keys.nodeCount, []byte(strconv.FormatInt(count, 10)), revision, "")
 		if err != nil && !errors.Is(err, store.ErrConflict) {
 			n.log.WithError(err).WithField("event", "count_failed").Warn("entries that all start anew share limits as the store says there were before")
 		}
@@ -145,14 +145,14 @@
 	return limitMetrics{changes: telemetry.NewCounter(r, "keel_node_limits_changes_total", "Customers that went over their limits here, or came back within them.", "what")}
 }
 
-// limitsEvery is how often customers over their limits are looked for.
-const limitsEvery = time.Second
+// limitLogInterval is how often customers over their limits are looked for.
+const limitLogInterval = time.Second
 
 // logLimits logs customers that go over their limits, and that come back.
 func (n *Node) logLimits(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, limitsEvery)
-		for _, c := range n.view.limitBook.Changes(time.Now()) {
+		clock.Sleep(ctx, limitLogInterval)
+		for _, c := range n.view.customerLimiter.Changes(time.Now()) {
 			event, message := "customer_within", "the customer is within its limit again"
 			if c.Over {
 				event, message = "customer_over", "the customer is over its limit; what is beyond it is refused"
@@ -169,7 +169,7 @@
 // serveLimits answers what this node knows of customers' use against their limits.
 func (n *Node) serveLimits(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	if err := json.NewEncoder(w).Encode(n.view.limitBook.State(time.Now())); err != nil {
+	if err := json.NewEncoder(w).Encode(n.view.customerLimiter.State(time.Now())); err != nil {
 		n.log.WithError(err).WithField("event", "limits_unsent").Info("whoever asked for the limits left")
 	}
 }
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -26,7 +26,7 @@
 
 func (w *world) limitsOf(n *Node) quota.State {
 	w.t.Helper()
-	resp, err := http.Get("http://" + n.doors.metrics.Address() + "/limits")
+	resp, err := http.Get("http://" + n.listeners.metrics.Address() + "/limits")
 	if err != nil {
 		w.t.Fatal(err)
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -32,35 +32,35 @@
 
 // Node is the process.
 type Node struct {
-	settings platform.Node
-	log      logrus.FieldLogger
-	registry *prometheus.Registry
-	view     *view
-	session  *lease.Session
-	store    *platform.Store
-	front    *platform.Front
-	router   *router.Router
-	events   *fleet.EventWatch
-	pulse    *pulse
-	name     string
-	stopping chan struct{}
-	options  Options
-	limits   limitMetrics
-	notices  noticeMetrics
-	doors    struct{ front, ready, metrics *door.Door }
+	settings     platform.Node
+	log          logrus.FieldLogger
+	registry     *prometheus.Registry
+	view         *view
+	session      *lease.Session
+	store        *platform.Store
+	front        *platform.Front
+	router       *router.Router
+	events       *fleet.EventWatch
+	exchange     *peerExchange
+	name         string
+	stopping     chan struct{}
+	options      Options
+	limits       limitMetrics
+	targetLimits targetLimitMetrics
+	listeners    struct{ front, ready, metrics *door.Door }
 	// cancel ends all the node does, endDuties what it does for others.
-	cancel    context.CancelFunc
-	endDuties context.CancelFunc
-	// enrolled is the node's entry among the members.
-	enrolled struct {
+	cancel       context.CancelFunc
+	cancelDuties context.CancelFunc
+	// membership is the node's entry among the members.
+	membership struct {
 		sync.Mutex
 		revision int64
 		left     bool
 	}
-	// serving is what clients' requests are served under; interrupt ends it with
+	// requestCtx is what clients' requests are served under; interrupt ends it with
 	// the reason that requests are answered with.
-	serving   context.Context
-	interrupt context.CancelCauseFunc
+	requestCtx     context.Context
+	cancelRequests context.CancelCauseFunc
 }
 
 // Options are what the platform's settings do not say.
@@ -73,7 +73,7 @@
 	Disabled policy.Disabled
 }
 
-func (o Options) dropped() int64 {
+func (o Options) droppedLogLines() int64 {
 	if o.DroppedLogLines == nil {
 		return 0
 	}
@@ -82,14 +82,14 @@
 
 // Figures of a node's duties.
 const (
-	// watchWait is how often the store confirms the view. Keys are trusted for
+	// watchTimeout is how often the store confirms the view. Keys are trusted for
 	// the deployment's bound after the last confirmation, less staleMargin. The
 	// others of the group live on the same watch, one watch, a telling and a
 	// pulse later, and are to hear of it well before they would ask themselves.
-	watchWait = 500 * time.Millisecond
-	// gather is how long news may wait for more of it; a configuration has
+	watchTimeout = 500 * time.Millisecond
+	// batchDelay is how long news may wait for more of it; a configuration has
 	// seconds to come into force.
-	gather = 300 * time.Millisecond
+	batchDelay = 300 * time.Millisecond
 	// staleMargin covers a watch that hears nothing for a second before it is
 	// cut, and the time from a request's arrival to its sending.
 	staleMargin = 1300 * time.Millisecond
@@ -116,57 +116,57 @@
 		log:      log,
 		registry: telemetry.NewRegistry(),
 		store:    platform.NewStore("http://" + s.Store.Address),
-		name:     newName(s.Name),
+		name:     newInstanceName(s.Name),
 		stopping: make(chan struct{}),
 	}
-	n.serving, n.interrupt = context.WithCancelCause(context.Background())
+	n.requestCtx, n.cancelRequests = context.WithCancelCause(context.Background())
 	runners := platform.NewRunners()
 	targets := fleet.New(s.Zone)
 	targets.Without(o.Disabled)
 	n.session = lease.NewSession(n.store, max(leaseTTL, time.Duration(s.Store.MinLeaseMS)*time.Millisecond), leaseMargin)
 	n.view = &view{
-		fleet:   targets,
-		log:     log,
-		members: map[string]peering.Member{},
-		grace:   s.Bounds.Grace(),
-		lapsed:  map[string]*time.Timer{},
-		foreign: newForeign(n.registry, log),
-		keys:    ownKeysOf(),
+		fleet:         targets,
+		log:           log,
+		members:       map[string]peering.Member{},
+		grace:         s.Bounds.Grace(),
+		removalTimers: map[string]*time.Timer{},
+		skipped:       newSkippedEntries(n.registry, log),
+		keys:          newSystemKeys(),
 	}
 	n.view.self = n.view.keys.members + n.name
-	n.view.limitBook = quota.NewLimiter(s.Bounds.Quota(), o.Disabled, n.session.Valid, time.Now())
-	n.view.targetBook = quota.NewLimiter(fleet.TargetBounds, o.Disabled, n.session.Valid, time.Now())
-	targets.KeepLimits(n.view.targetBook, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	n.limits = newLimitMetrics(n.registry, n.view.limitBook)
-	n.notices = newNoticeMetrics(n.registry)
+	n.view.customerLimiter = quota.NewLimiter(s.Bounds.Quota(), o.Disabled, n.session.Valid, time.Now())
+	n.view.targetLimiter = quota.NewLimiter(fleet.TargetBounds, o.Disabled, n.session.Valid, time.Now())
+	targets.KeepLimits(n.view.targetLimiter, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	n.limits = newLimitMetrics(n.registry, n.view.customerLimiter)
+	n.targetLimits = newTargetLimitMetrics(n.registry)
 	if s.Bounds.RevokeFailClosed {
 		n.view.staleAfter = time.Duration(s.Bounds.RevokeMS)*time.Millisecond - staleMargin
 	}
-	n.view.oldWeights = time.Duration(s.Bounds.VersionMS)*time.Millisecond - oldWeightsMargin
+	n.view.oldWeightsLimit = time.Duration(s.Bounds.VersionMS)*time.Millisecond - oldWeightsMargin
 	n.view.verdicts = verdicts.NewKeeper(n.store, n.registry, log)
-	n.view.seat = rollout.NewLeaderLock(n.store, n.session, n.view.keys.seat, n.name, time.Duration(s.Bounds.LeaseMS)*time.Millisecond, log)
-	n.pulse = newPulse(n.name, targets, n.view.verdicts.Table, n.view, log)
-	n.view.verdicts.Seat, n.view.verdicts.Soon = n.view.seat, n.pulse.soon
-	n.pulse.digest.counted = telemetry.NewCounter(n.registry, "keel_node_digests_total", "Digests between groups of entries: told, passed_on, left_out.", "what")
-	n.view.holder = rollout.NewController(s.Name, rollout.Config{
-		Leadership: n.view.seat, Client: runners, Fleet: targets, Services: n.view.services, Notify: n.pulse.soon, Metrics: rollout.NewMetrics(n.registry),
-		MaxStaleness: n.view.oldWeights,
+	n.view.leaderLock = rollout.NewLeaderLock(n.store, n.session, n.view.keys.leader, n.name, time.Duration(s.Bounds.LeaseMS)*time.Millisecond, log)
+	n.exchange = newPeerExchange(n.name, targets, n.view.verdicts.Table, n.view, log)
+	n.view.verdicts.Seat, n.view.verdicts.Soon = n.view.leaderLock, n.exchange.sendSoon
+	n.exchange.relay.outcomes = telemetry.NewCounter(n.registry, "keel_node_digests_total", "Digests between groups of entries: told, passed_on, left_out.", "what")
+	n.view.controller = rollout.NewController(s.Name, rollout.Config{
+		Leadership: n.view.leaderLock, Client: runners, Fleet: targets, Services: n.view.services, Notify: n.exchange.sendSoon, Metrics: rollout.NewMetrics(n.registry),
+		MaxStaleness: n.view.oldWeightsLimit,
 	}, log)
-	targets.OnRebirth(n.view.reborn)
+	targets.OnRebirth(n.view.targetRestarted)
 	targets.OnEnded(func(l fleet.Life) { n.view.verdicts.Table.RecordCrash(l, time.Now()) })
 	watches := telemetry.NewCounter(n.registry, "keel_node_store_watches_total", "Watches of the platform's store, by reason.", "reason")
-	timing := follow.Options{WatchTimeout: watchWait, BatchDelay: gather, PeerTimeout: n.view.patience, OnWatch: func(r follow.Reason) { watches.WithLabelValues(string(r)).Inc() }}
+	timing := follow.Options{WatchTimeout: watchTimeout, BatchDelay: batchDelay, PeerTimeout: n.view.peerTimeout, OnWatch: func(r follow.Reason) { watches.WithLabelValues(string(r)).Inc() }}
 	n.view.follower = follow.New(n.store, platform.AllKeys, timing, platform.NewFeed(n.view), log)
-	n.view.follower.OnChanges(n.pulse.watched)
+	n.view.follower.OnChanges(n.exchange.shareChanges)
 	n.registerGauges()
 	n.events = fleet.NewEventWatch(targets, runners)
-	bounds := router.Bounds{OldWeights: n.view.oldWeights, Begin: time.Duration(s.Bounds.VersionMS)*time.Millisecond - beginMargin}
+	bounds := router.Bounds{OldWeights: n.view.oldWeightsLimit, Begin: time.Duration(s.Bounds.VersionMS)*time.Millisecond - beginMargin}
 	retries := router.RetryBounds{
 		Ratio:  s.Bounds.RetryRatio,
 		Extra:  s.Bounds.RetryExtra,
 		Window: time.Duration(s.Bounds.RetryWindowS * float64(time.Second)),
 	}
-	n.router = router.New(n.view, targets, runners, n.view.verdicts.Table, n.view.limitBook, router.NewMetrics(n.registry), log, bounds, retries)
+	n.router = router.New(n.view, targets, runners, n.view.verdicts.Table, n.view.customerLimiter, router.NewMetrics(n.registry), log, bounds, retries)
 	n.front = platform.NewFront(n.router, n.view.limits, platform.Watch{
 		Log:    log,
 		Panics: telemetry.NewCounter(n.registry, "keel_node_panics_total", "Requests whose serving panicked.").WithLabelValues(),
@@ -189,23 +189,23 @@
 		return float64(n.view.fleet.LeavingUnlisted())
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_seat_held", "1 while this node gives the orders.", func() float64 {
-		if _, held := n.view.seat.Held(); held {
+		if _, held := n.view.leaderLock.Held(); held {
 			return 1
 		}
 		return 0
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_log_lines_dropped_total", "Log lines dropped because nobody read them.", func() float64 {
-		return float64(n.options.dropped())
+		return float64(n.options.droppedLogLines())
 	})
 }
 
-// newName returns the name of one start of a node.
-func newName(node string) string {
+// newInstanceName returns the name of one start of a node.
+func newInstanceName(node string) string {
 	return node + "/" + uuid.NewString()
 }
 
-// isName reports whether a text is the name of a node's start.
-func isName(text string) bool {
+// isInstanceName reports whether a text is the name of a node's start.
+func isInstanceName(text string) bool {
 	at := strings.LastIndexByte(text, '/')
 	return at > 0 && uuid.Validate(text[at+1:]) == nil
 }
@@ -213,56 +213,56 @@
 // Start opens the node's doors and begins its duties. Requests that come before
 // the first configuration are refused with the time to come back.
 func (n *Node) Start() error {
-	if err := n.pulse.listen(n.pulseAddress()); err != nil {
+	if err := n.exchange.listen(n.exchangeAddress()); err != nil {
 		return err
 	}
-	if err := n.openDoors(); err != nil {
+	if err := n.openListeners(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	duties, endDuties := context.WithCancel(ctx)
-	n.cancel, n.endDuties = cancel, endDuties
+	n.cancel, n.cancelDuties = cancel, endDuties
 	go n.view.follower.Run(ctx)
 	go n.events.Run(ctx)
-	go n.pulse.run(ctx)
-	go n.logFigures(ctx)
+	go n.exchange.run(ctx)
+	go n.logEngineStats(ctx)
 	go n.logLimits(ctx)
 	go n.logTargetLimits(ctx)
-	go n.keepCount(duties)
+	go n.maintainNodeCount(duties)
 	go n.view.verdicts.Run(ctx)
-	go n.session.Run(duties, n.enrol)
-	go n.view.holder.Run(duties)
-	go n.seekSeat(duties)
-	n.log.WithFields(logrus.Fields{"event": "started", "node": n.settings.Name, "zone": n.settings.Zone, "listen": n.doors.front.Address()}).Info("serving")
+	go n.session.Run(duties, n.onNewLease)
+	go n.view.controller.Run(duties)
+	go n.runElection(duties)
+	n.log.WithFields(logrus.Fields{"event": "started", "node": n.settings.Name, "zone": n.settings.Zone, "listen": n.listeners.front.Address()}).Info("serving")
 	return nil
 }
 
-// openDoors opens the front last, when nothing else can fail: clients that came
+// openListeners opens the front last, when nothing else can fail: clients that came
 // before would lose their connections, and what they sent, with the process.
-func (n *Node) openDoors() error {
+func (n *Node) openListeners() error {
 	watch := door.Watch{
 		Log:        n.log,
 		Unanswered: telemetry.NewCounter(n.registry, "keel_node_connections_unanswered_total", "Connections closed with a request read and nothing answered.").WithLabelValues(),
 	}
 	var err error
-	if n.doors.metrics, err = door.Open(n.metricsAddress(), newServer(n.metricsHandler()), watch); err != nil {
+	if n.listeners.metrics, err = door.Open(n.metricsAddress(), newServer(n.metricsHandler()), watch); err != nil {
 		return err
 	}
-	if n.doors.ready, err = door.Open(n.settings.Listen.Ready, newServer(http.HandlerFunc(n.serveReady)), watch); err != nil {
+	if n.listeners.ready, err = door.Open(n.settings.Listen.Ready, newServer(http.HandlerFunc(n.serveReady)), watch); err != nil {
 		return err
 	}
 	front := newServer(n.front)
-	front.BaseContext = func(net.Listener) context.Context { return n.serving }
-	n.doors.front, err = door.Open(n.settings.Listen.Front, front, watch)
+	front.BaseContext = func(net.Listener) context.Context { return n.requestCtx }
+	n.listeners.front, err = door.Open(n.settings.Listen.Front, front, watch)
 	return err
 }
 
 // FrontAddress and ReadyAddress return where the started node serves clients
 // and the platform's question whether it is ready.
-func (n *Node) FrontAddress() string { return n.doors.front.Address() }
+func (n *Node) FrontAddress() string { return n.listeners.front.Address() }
 
 // ReadyAddress returns where the platform asks whether the node is ready.
-func (n *Node) ReadyAddress() string { return n.doors.ready.Address() }
+func (n *Node) ReadyAddress() string { return n.listeners.ready.Address() }
 
 func (n *Node) metricsAddress() string {
 	return net.JoinHostPort(n.settings.IP, strconv.Itoa(n.options.MetricsPort))
@@ -288,36 +288,36 @@
 	}
 }
 
-// enrol puts the node among the members under a new lease.
-func (n *Node) enrol(ctx context.Context, id store.LeaseID) {
-	if err := n.join(ctx, id); err != nil {
+// onNewLease puts the node among the members under a new lease.
+func (n *Node) onNewLease(ctx context.Context, id store.LeaseID) {
+	if err := n.register(ctx, id); err != nil {
 		n.log.WithError(err).WithField("event", "enrol_failed").Warn("the others count this node out until its next lease")
 	}
-	if n.seeks() {
-		n.view.seat.TryAcquire(ctx)
+	if n.isCandidate() {
+		n.view.leaderLock.TryAcquire(ctx)
 	}
 }
 
-// join writes the node's entry among the members, unless it is leaving.
-func (n *Node) join(ctx context.Context, id store.LeaseID) error {
-	n.enrolled.Lock()
-	defer n.enrolled.Unlock()
-	if n.enrolled.left {
+// register writes the node's entry among the members, unless it is leaving.
+func (n *Node) register(ctx context.Context, id store.LeaseID) error {
+	n.membership.Lock()
+	defer n.membership.Unlock()
+	if n.membership.left {
 		return nil
 	}
-	revision, err := n.store.Put(ctx, n.view.self, memberValue(n.pulse.address(), n.settings.Zone), 0, id)
+	revision, err := n.store.Put(ctx, n.view.self, encodeMember(n.exchange.address(), n.settings.Zone), 0, id)
 	if err == nil {
-		n.enrolled.revision = revision
+		n.membership.revision = revision
 	}
 	return err
 }
 
-// seekEvery is how often a free seat is looked for.
-const seekEvery = 200 * time.Millisecond
+// electionInterval is how often a free seat is looked for.
+const electionInterval = 200 * time.Millisecond
 
-// seekSeat takes the seat once it is free.
-func (n *Node) seekSeat(ctx context.Context) {
-	ticker := time.NewTicker(seekEvery)
+// runElection takes the seat once it is free.
+func (n *Node) runElection(ctx context.Context) {
+	ticker := time.NewTicker(electionInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -325,11 +325,11 @@
 		case <-ctx.Done():
 			return
 		}
-		if n.view.follower.Disconnected() || n.view.Config() == nil || !n.seeks() {
+		if n.view.follower.Disconnected() || n.view.Config() == nil || !n.isCandidate() {
 			continue
 		}
-		if n.view.seat.TryAcquire(ctx) {
-			n.view.holder.Wake()
+		if n.view.leaderLock.TryAcquire(ctx) {
+			n.view.controller.Wake()
 		}
 	}
 }
--- a/node/notices.go
+++ b/node/notices.go
@@ -12,17 +12,17 @@
 	"acaciakeel/telemetry"
 )
 
-// limitUsesEvery is how often it is logged what goes to targets with limits.
-const limitUsesEvery = time.Second
+// limitUseInterval is how often it is logged what goes to targets with limits.
+const limitUseInterval = time.Second
 
-// noticeMetrics are the counters of what goes to targets with limits.
-type noticeMetrics struct {
+// targetLimitMetrics are the counters of what goes to targets with limits.
+type targetLimitMetrics struct {
 	limited prometheus.Gauge
 	sent    *prometheus.CounterVec
 }
 
-func newNoticeMetrics(r *prometheus.Registry) noticeMetrics {
-	return noticeMetrics{
+func newTargetLimitMetrics(r *prometheus.Registry) targetLimitMetrics {
+	return targetLimitMetrics{
 		limited: telemetry.NewGauge(r, "keel_node_limited_targets", "Targets that name a limit of requests a second.").WithLabelValues(),
 		sent:    telemetry.NewCounter(r, "keel_node_limited_sends_total", "Calls of targets that name a limit: requests, and readings of cache events.", "call"),
 	}
@@ -31,12 +31,12 @@
 // logTargetLimits logs what this entry sends to targets with limits.
 func (n *Node) logTargetLimits(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, limitUsesEvery)
+		clock.Sleep(ctx, limitUseInterval)
 		uses := n.view.fleet.LimitUses()
-		n.notices.limited.Set(float64(len(uses)))
+		n.targetLimits.limited.Set(float64(len(uses)))
 		for _, u := range uses {
-			n.notices.sent.WithLabelValues("request").Add(float64(u.Requests))
-			n.notices.sent.WithLabelValues("reading").Add(float64(u.Readings))
+			n.targetLimits.sent.WithLabelValues("request").Add(float64(u.Requests))
+			n.targetLimits.sent.WithLabelValues("reading").Add(float64(u.Readings))
 			n.log.WithFields(logrus.Fields{
 				"event": "target_limit_use", "target": u.Target.ID, "born": u.Target.Born, "limit": u.Rate, "requests": u.Requests, "readings": u.Readings,
 			}).Info("sent in the last second to a target that names a limit")
@@ -44,8 +44,8 @@
 	}
 }
 
-// logHeard logs what another entry's news changed of targets' words on themselves.
-func (p *pulse) logHeard(heard fleet.Heard, from string) {
+// logTargetReports logs what another entry's news changed of targets' words on themselves.
+func (p *peerExchange) logTargetReports(heard fleet.Heard, from string) {
 	for _, c := range heard.Limits {
 		p.log.WithFields(logrus.Fields{
 			"event": "target_limit", "from": from, "target": c.Target.ID, "born": c.Target.Born, "named": c.Now.Named, "limit": c.Now.Rate, "former": c.Former.Rate,
--- a/node/poison_test.go
+++ b/node/poison_test.go
@@ -225,9 +225,9 @@
 	w.store.Set(platform.VerdictPrefix+"zz", []byte(`{}`))
 	w.store.Set("keel/mark", []byte("seen"))
 	w.until("both are left out", func() bool {
-		w.node.view.foreign.mu.Lock()
-		defer w.node.view.foreign.mu.Unlock()
-		return len(w.node.view.foreign.said) >= 2
+		w.node.view.skipped.mu.Lock()
+		defer w.node.view.skipped.mu.Unlock()
+		return len(w.node.view.skipped.loggedRevisions) >= 2
 	})
 	if a := w.send("POST", "/match/sound", "sound", prompt()); a.status != http.StatusOK {
 		t.Errorf("answered %d: %s", a.status, a.body)
@@ -247,7 +247,7 @@
 		for _, r := range []fleet.Runner{gone, planned} {
 			w.node.view.fleet.Put(r)
 			table.RecordBrokenResponse(c, r.Life(), now, now)
-			w.node.view.drop(r.ID)
+			w.node.view.removeUnlisted(r.ID)
 		}
 		if ends := table.Evaluate(c.Content, time.Now()).Crashes; ends != i+1 {
 			t.Errorf("%d ends count after %d silent and %d planned ones", ends, i+1, i+1)
@@ -260,8 +260,8 @@
 func TestEntryThatHearsNobodyLearnsFromTheStore(t *testing.T) {
 	w := newDeadlyWorld(t, 6)
 	deaf := w.startNode("n1")
-	w.store.Set(deaf.view.self, memberValue("127.0.0.1:9", "z1"))
-	w.store.Set(w.node.view.self, memberValue("127.0.0.1:9", "z1"))
+	w.store.Set(deaf.view.self, encodeMember("127.0.0.1:9", "z1"))
+	w.store.Set(w.node.view.self, encodeMember("127.0.0.1:9", "z1"))
 	nowhere := func(n *Node) bool {
 		plan := n.view.plan()
 		return len(plan.Peers) == 1 && plan.Peers[0].Address == "127.0.0.1:9"
--- a/node/pulse.go
+++ b/node/pulse.go
@@ -24,83 +24,83 @@
 	"acaciakeel/pulses"
 )
 
-// pulse tells the other nodes, many times a second and by datagrams, what this
+// peerExchange tells the other nodes, many times a second and by datagrams, what this
 // one sends where and what it learnt, and takes what they tell. A choice is as
 // good as what it knows of the prompts that wait at each target, which changes
 // within tens of milliseconds; a call by HTTP each time costs a small machine
-// ten times as much. Nothing rests on a pulse: a lost one leaves the one before
+// ten times as much. Nothing rests on a peerExchange: a lost one leaves the one before
 // it in force, and without any each node goes by what it sees itself.
-type pulse struct {
+type peerExchange struct {
 	name  string
 	fleet *fleet.Fleet
 	table *poison.Table
 	view  *view
 	log   logrus.FieldLogger
-	now   chan struct{}
+	wake  chan struct{}
 	conn  *net.UDPConn
 	// write sends a datagram; one that can't be sent is like one that is lost.
 	write func(datagram []byte, to netip.AddrPort)
-	// toldEngines is when what was observed of engines was told last.
-	toldEngines time.Time
-	digest      digest
-	// met are the processes of the group and when each was heard last; receive alone
+	// enginesSentAt is when what was observed of engines was told last.
+	enginesSentAt time.Time
+	relay         groupRelay
+	// contacts are the processes of the group and when each was heard last; receive alone
 	// uses it.
-	met   map[string]meeting
-	watch watchShare
-	// asideMet are those told aside at the last pulse; only the goroutine that sends uses
+	contacts map[string]peerContact
+	watch    watchShare
+	// knownExtra are those told aside at the last pulse; only the goroutine that sends uses
 	// it.
-	asideMet map[string]bool
-	// tellNamings is until when namings of weights are told, by the clock's nanoseconds.
-	tellNamings atomic.Int64
+	knownExtra map[string]bool
+	// sendNamingsUntil is until when namings of weights are told, by the clock's nanoseconds.
+	sendNamingsUntil atomic.Int64
 }
 
-func newPulse(name string, f *fleet.Fleet, t *poison.Table, v *view, log logrus.FieldLogger) *pulse {
-	p := &pulse{name: name, fleet: f, table: t, view: v, met: map[string]meeting{}, log: log, now: make(chan struct{}, 1)}
+func newPeerExchange(name string, f *fleet.Fleet, t *poison.Table, v *view, log logrus.FieldLogger) *peerExchange {
+	p := &peerExchange{name: name, fleet: f, table: t, view: v, contacts: map[string]peerContact{}, log: log, wake: make(chan struct{}, 1)}
 	p.watch = newWatchShare(prefix.NameHash(name))
 	return p
 }
 
 // Figures of the pulse.
 const (
-	// pulseEvery is the pause between two pulses, and pulsePerPeer stretches it
+	// minUpdateInterval is the pause between two pulses, and pulsePerPeer stretches it
 	// where there are many: a node then sends and gets about 200 datagrams a
 	// second, 60 to 100 KB/s, however many there are.
-	pulseEvery   = 50 * time.Millisecond
-	pulsePerPeer = 5 * time.Millisecond
-	// pulsePerFar takes its place where there are other groups: most of the load is
+	minUpdateInterval = 50 * time.Millisecond
+	intervalPerPeer   = 5 * time.Millisecond
+	// intervalPerPeerGrouped takes its place where there are other groups: most of the load is
 	// then known by their digests, and the datagrams are better spent on these.
-	pulsePerFar = 8 * time.Millisecond
-	// enginesEvery is how often what was observed of engines is told: what a
+	intervalPerPeerGrouped = 8 * time.Millisecond
+	// engineInterval is how often what was observed of engines is told: what a
 	// process observed in half a second changes little of what all know.
-	enginesEvery = 500 * time.Millisecond
-	// pulseGather is how long news that is to go out at once waits for more.
-	pulseGather = 20 * time.Millisecond
-	// pulseLoads is how many targets a pulse names: about as many fit one packet,
+	engineInterval = 500 * time.Millisecond
+	// updateBatchDelay is how long news that is to go out at once waits for more.
+	updateBatchDelay = 20 * time.Millisecond
+	// maxLoads is how many targets a pulse names: about as many fit one packet,
 	// at 33 bytes each where all figures are there and ids have 12 letters.
-	pulseLoads = 44
-	// pulseBytes bounds a datagram that is read: the most that UDP carries.
-	pulseBytes = 64 << 10
+	maxLoads = 44
+	// maxDatagramBytes bounds a datagram that is read: the most that UDP carries.
+	maxDatagramBytes = 64 << 10
 )
 
-// pulsePause returns the pause after a pulse that was told to so many beside the peers.
-func pulsePause(plan peering.Plan, aside int) time.Duration {
-	each := pulsePerPeer
+// updateInterval returns the pause after a pulse that was told to so many beside the peers.
+func updateInterval(plan peering.Plan, extra int) time.Duration {
+	perPeer := intervalPerPeer
 	if plan.GroupCount > 1 {
-		each = pulsePerFar
+		perPeer = intervalPerPeerGrouped
 	}
-	return max(pulseEvery, time.Duration(len(plan.Peers)+aside)*each)
+	return max(minUpdateInterval, time.Duration(len(plan.Peers)+extra)*perPeer)
 }
 
-// soon makes the next pulse go out at once.
-func (p *pulse) soon() {
+// sendSoon makes the next pulse go out at once.
+func (p *peerExchange) sendSoon() {
 	select {
-	case p.now <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
 // listen opens the socket.
-func (p *pulse) listen(address string) error {
+func (p *peerExchange) listen(address string) error {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return fmt.Errorf("listen for datagrams: %w; mend ip and port_range of the settings", err)
@@ -114,22 +114,22 @@
 }
 
 // address returns where the others send to.
-func (p *pulse) address() string {
+func (p *peerExchange) address() string {
 	return p.conn.LocalAddr().String()
 }
 
 // run sends and receives until ctx ends.
-func (p *pulse) run(ctx context.Context) {
+func (p *peerExchange) run(ctx context.Context) {
 	go p.receive()
 	defer p.conn.Close()
 	for ctx.Err() == nil {
 		plan := p.view.plan()
-		told := p.send(plan)
+		extra := p.send(plan)
 		select {
-		case <-time.After(pulsePause(plan, told)):
-		case <-p.now:
+		case <-time.After(updateInterval(plan, extra)):
+		case <-p.wake:
 			// What comes together goes out together.
-			time.Sleep(pulseGather)
+			time.Sleep(updateBatchDelay)
 		case <-ctx.Done():
 		}
 	}
@@ -137,32 +137,32 @@
 
 // send tells the peers what there is to tell, and the other groups where it is this
 // node's turn. It returns how many it told aside.
-func (p *pulse) send(plan peering.Plan) int {
+func (p *peerExchange) send(plan peering.Plan) int {
 	now := time.Now()
-	aside := p.view.aside(now)
-	p.meetAside(aside, now)
+	extra := p.view.extraRecipients(now)
+	p.resendToNewRecipients(extra, now)
 	// News is taken also where nobody is told, or it would pile up.
-	all := p.gather(now)
-	told := p.tellAside(all, aside, plan.Joined)
-	p.digest.collect(plan, all)
+	all := p.collectUpdate(now)
+	sent := p.sendExtra(all, extra, plan.Joined)
+	p.relay.addOwn(plan, all)
 	// A confirmation is taken before the changes and told after them: its revision is
 	// one whose changes have been told.
 	all.StoreView = p.storeView()
 	changes := p.watch.takeChanges()
 	if len(plan.Peers) > 0 {
 		addresses := addressesOf(plan.Peers)
-		p.tellChanges(changes, addresses)
+		p.sendChanges(changes, addresses)
 		all.SentAt = clock.Now()
-		p.spread(all, nil, addresses)
+		p.sendUpdate(all, nil, addresses)
 	}
-	for _, l := range p.digest.due(plan, time.Now()) {
-		p.spread(p.groupNews(l), l.label(plan), l.far)
+	for _, l := range p.relay.dueLinks(plan, time.Now()) {
+		p.sendUpdate(p.groupUpdate(l), l.header(plan), l.addresses)
 	}
-	return told
+	return sent
 }
 
-// spread sends news to addresses; group is set where it is that of a whole group.
-func (p *pulse) spread(all pulses.Update, group *keelv1.GroupNews, addresses []string) int {
+// sendUpdate sends news to addresses; group is set where it is that of a whole group.
+func (p *peerExchange) sendUpdate(all pulses.Update, group *keelv1.GroupNews, addresses []string) int {
 	datagrams, err := all.Datagrams(p.name, group)
 	if err != nil {
 		p.log.WithError(err).WithField("event", "pulse_failed").Error("the others choose without this node's news")
@@ -176,7 +176,7 @@
 	return size
 }
 
-func (p *pulse) sendTo(addresses []string, datagram []byte) {
+func (p *peerExchange) sendTo(addresses []string, datagram []byte) {
 	for _, peer := range addresses {
 		address, err := netip.ParseAddrPort(peer)
 		if err != nil {
@@ -195,24 +195,24 @@
 	return out
 }
 
-// gather takes what there is to tell now.
-func (p *pulse) gather(now time.Time) pulses.Update {
-	all := pulses.Update{Loads: p.fleet.Occupied(pulseLoads), Findings: p.fleet.Findings(now), Caches: p.fleet.News(now), Saves: p.fleet.Saves(), Suspects: p.table.NextReports(now)}
-	if now.Sub(p.toldEngines) >= enginesEvery {
-		all.Engines, p.toldEngines = p.fleet.Words(now), now
+// collectUpdate takes what there is to tell now.
+func (p *peerExchange) collectUpdate(now time.Time) pulses.Update {
+	all := pulses.Update{Loads: p.fleet.Occupied(maxLoads), Findings: p.fleet.Findings(now), Caches: p.fleet.News(now), Saves: p.fleet.Saves(), Suspects: p.table.NextReports(now)}
+	if now.Sub(p.enginesSentAt) >= engineInterval {
+		all.Engines, p.enginesSentAt = p.fleet.Words(now), now
 	}
 	if p.fleet.Off(policy.LoadSharing) {
 		all.Loads = nil
 	}
-	all.Limits, all.TargetLimits = p.view.limitBook.PeerUpdate(now), p.view.targetBook.PeerUpdate(now)
-	if int64(clock.Now()) < p.tellNamings.Load() {
+	all.Limits, all.TargetLimits = p.view.customerLimiter.PeerUpdate(now), p.view.targetLimiter.PeerUpdate(now)
+	if int64(clock.Now()) < p.sendNamingsUntil.Load() {
 		all.Namings = p.namings(now)
 	}
 	return all
 }
 
-func (p *pulse) receive() {
-	buffer := make([]byte, pulseBytes)
+func (p *peerExchange) receive() {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -223,88 +223,88 @@
 			// reading, which says nothing of this socket.
 			continue
 		}
-		p.take(buffer[:n], from)
+		p.handle(buffer[:n], from)
 	}
 }
 
-func (p *pulse) take(datagram []byte, from netip.AddrPort) {
+func (p *peerExchange) handle(datagram []byte, from netip.AddrPort) {
 	var message keelv1.Pulse
 	if err := proto.Unmarshal(datagram, &message); err != nil {
 		p.log.WithError(err).WithField("event", "pulse_unread").Warn("a datagram is no pulse; it is left out")
 		return
 	}
 	if message.Group != nil {
-		p.takeGroup(&message)
+		p.receiveGroup(&message)
 		return
 	}
 	now := time.Now()
-	p.digest.heard(message.Sender, now)
-	p.meet(message.Sender, from, now)
+	p.relay.memberSeen(message.Sender, now)
+	p.noteContact(message.Sender, from, now)
 	if message.WholeLoad {
 		p.fleet.HeardLoad(message.Sender, pulses.DecodeLoads(message.Loads), now)
 	}
-	p.takeLimits(&message, now)
-	p.takeStore(&message)
-	p.heardNamings(&message, now)
-	p.digest.keep(pulses.Update{
-		Findings: p.heardFindings(&message, now),
+	p.receiveLimits(&message, now)
+	p.receiveStore(&message)
+	p.receiveNamings(&message, now)
+	p.relay.addPending(pulses.Update{
+		Findings: p.receiveFindings(&message, now),
 		Caches:   p.fleet.HeardCaches(message.Sender, pulses.DecodeCaches(message.Caches), now),
-		Saves:    p.heardSaves(&message, now),
-		Suspects: p.heardSuspects(&message, now),
+		Saves:    p.receiveSaves(&message, now),
+		Suspects: p.receiveSuspects(&message, now),
 	})
 	p.fleet.HeardWords(message.Sender, pulses.DecodeEngines(message.Engines), now)
 }
 
 // Figures of meetings.
 const (
-	// metFor is for how long a process that is not heard is remembered: far longer than a
+	// contactRetention is for how long a process that is not heard is remembered: far longer than a
 	// choked link keeps its pulses away, so that these do not make it a new one.
-	metFor = time.Minute
-	// answerEvery is how often one that is not told yet is answered if nothing changed: 24
+	contactRetention = time.Minute
+	// replyInterval is how often one that is not told yet is answered if nothing changed: 24
 	// of a group do so, a kilobyte each.
-	answerEvery = 250 * time.Millisecond
-	// namingsFor is for how long namings are told once a process that has just started
+	replyInterval = 250 * time.Millisecond
+	// namingsResendPeriod is for how long namings are told once a process that has just started
 	// was heard: some pulses, of which a few may be lost.
-	namingsFor = time.Second
+	namingsResendPeriod = time.Second
 )
 
-// meeting is when a process was heard last and when it was answered, with what version
+// peerContact is when a process was heard last and when it was answered, with what version
 // of what is held against contents.
-type meeting struct {
-	heard, answered time.Time
-	version         int
+type peerContact struct {
+	lastSeen, repliedAt time.Time
+	version             int
 }
 
-// meet has a process that has just started be told of what is held against contents. It
+// noteContact has a process that has just started be told of what is held against contents. It
 // serves as soon as it has its configuration, and tells the others, but these tell it
 // nothing until the store has told them of it, up to half a second later. A request that
 // ends targets ended two more in that time, so it is answered directly.
-func (p *pulse) meet(name string, from netip.AddrPort, now time.Time) {
-	m, known := p.met[name]
+func (p *peerExchange) noteContact(name string, from netip.AddrPort, now time.Time) {
+	m, known := p.contacts[name]
 	if !known {
-		p.retell(now)
+		p.resendState(now)
 	}
-	m.heard = now
+	m.lastSeen = now
 	version := p.table.Version()
-	if due := version != m.version || now.Sub(m.answered) >= answerEvery; due && p.answer(name, from, now) {
-		m.answered, m.version = now, version
+	if due := version != m.version || now.Sub(m.repliedAt) >= replyInterval; due && p.reply(name, from, now) {
+		m.repliedAt, m.version = now, version
 	}
-	p.met[name] = m
-	maps.DeleteFunc(p.met, func(_ string, m meeting) bool { return now.Sub(m.heard) > metFor })
+	p.contacts[name] = m
+	maps.DeleteFunc(p.contacts, func(_ string, m peerContact) bool { return now.Sub(m.lastSeen) > contactRetention })
 }
 
-// retell has what is held against contents, and namings, told once more, for a process
+// resendState has what is held against contents, and namings, told once more, for a process
 // that is heard or seen for the first time.
-func (p *pulse) retell(now time.Time) {
+func (p *peerExchange) resendState(now time.Time) {
 	p.table.ScheduleResend(now)
-	p.tellNamings.Store(int64(clock.Now().Add(namingsFor)))
+	p.sendNamingsUntil.Store(int64(clock.Now().Add(namingsResendPeriod)))
 }
 
-// answer tells a process that is not among those that this one tells, and reports whether
+// reply tells a process that is not among those that this one tells, and reports whether
 // there was anything to tell.
-func (p *pulse) answer(name string, to netip.AddrPort, now time.Time) bool {
+func (p *peerExchange) reply(name string, to netip.AddrPort, now time.Time) bool {
 	held, namings := p.table.BootstrapReports(now), pulses.EncodeNamings(p.namings(now))
-	limits, targets := p.view.limitBook.FullUpdate(now), p.view.targetBook.FullUpdate(now)
+	limits, targets := p.view.customerLimiter.FullUpdate(now), p.view.targetLimiter.FullUpdate(now)
 	if len(held)+len(namings)+len(limits.Reports)+len(targets.Reports) == 0 || p.view.plan().HasPeer(p.view.keys.members+name) {
 		return false
 	}
@@ -327,40 +327,40 @@
 }
 
 // namings returns what an entry that starts needs to know of namings.
-func (p *pulse) namings(now time.Time) []fleet.Naming {
-	return p.fleet.Namings(p.view.oldWeights, now)
+func (p *peerExchange) namings(now time.Time) []fleet.Naming {
+	return p.fleet.Namings(p.view.oldWeightsLimit, now)
 }
 
-// toldLag is how old a word on namings may be beside what it says.
-const toldLag = 100 * time.Millisecond
+// namingsLag is how old a word on namings may be beside what it says.
+const namingsLag = 100 * time.Millisecond
 
-func (p *pulse) heardNamings(message *keelv1.Pulse, now time.Time) {
-	for _, n := range p.fleet.HeardNamings(pulses.DecodeNamings(message.Namings), now.Add(-toldLag)) {
+func (p *peerExchange) receiveNamings(message *keelv1.Pulse, now time.Time) {
+	for _, n := range p.fleet.HeardNamings(pulses.DecodeNamings(message.Namings), now.Add(-namingsLag)) {
 		p.log.WithFields(logrus.Fields{"event": "namings_heard", "from": message.Sender, "model": n.Model, "weights": n.Version, "age_ms": n.Age.Milliseconds()}).Info("another entry tells since when the weights are wanted")
 	}
 }
 
-func (p *pulse) heardFindings(message *keelv1.Pulse, now time.Time) []fleet.Finding {
+func (p *peerExchange) receiveFindings(message *keelv1.Pulse, now time.Time) []fleet.Finding {
 	all := pulses.DecodeFindings(message.Findings)
-	p.logHeard(p.fleet.HeardFindings(all, now), message.Sender)
+	p.logTargetReports(p.fleet.HeardFindings(all, now), message.Sender)
 	return all
 }
 
-func (p *pulse) heardSuspects(message *keelv1.Pulse, now time.Time) []poison.Report {
+func (p *peerExchange) receiveSuspects(message *keelv1.Pulse, now time.Time) []poison.Report {
 	all := pulses.DecodeSuspects(message.Suspects)
 	p.table.ApplyReports(all, now)
 	return all
 }
 
-func (p *pulse) heardSaves(message *keelv1.Pulse, now time.Time) []fleet.Saves {
+func (p *peerExchange) receiveSaves(message *keelv1.Pulse, now time.Time) []fleet.Saves {
 	all := pulses.DecodeSaves(message.Saves)
 	p.fleet.HeardSaves(all, now)
 	return all
 }
 
-// pulseAddress is where the node hears its peers: the first of the ports that
+// exchangeAddress is where the node hears its peers: the first of the ports that
 // the platform leaves to the system's own messages.
-func (n *Node) pulseAddress() string {
+func (n *Node) exchangeAddress() string {
 	port := 0
 	if len(n.settings.Ports) > 0 {
 		port = n.settings.Ports[0]
--- a/node/pulse_test.go
+++ b/node/pulse_test.go
@@ -56,19 +56,19 @@
 // still tells of the former life must change nothing there.
 func TestLivesAreTold(t *testing.T) {
 	shared := prefix.Chain{Tokens: 900, Boundaries: []prefix.Boundary{{Hash: 1, Tokens: 400}, {Hash: 2, Tokens: 900}}}
-	start := func() (*pulse, *fleet.Fleet) {
+	start := func() (*peerExchange, *fleet.Fleet) {
 		f := fleet.New("z")
 		f.Put(fleet.Runner{ID: "r", Born: 10, Service: "lm", Address: "r:1", Weights: map[string]int64{model: 1}})
 		f.Begin(fleet.Life{ID: "r", Born: 10}, fleet.Stay{Chain: shared, Missing: 900}, time.Now())
-		return newPulse("n", f, poison.New(nil), &view{limitBook: testBook(), targetBook: testBook()}, nil), f
+		return newPeerExchange("n", f, poison.New(nil), &view{customerLimiter: testBook(), targetLimiter: testBook()}, nil), f
 	}
-	tell := func(from, to *pulse) {
-		datagrams, err := from.gather(time.Now()).Datagrams("from", nil)
+	tell := func(from, to *peerExchange) {
+		datagrams, err := from.collectUpdate(time.Now()).Datagrams("from", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, d := range datagrams {
-			to.take(d, netip.AddrPort{})
+			to.handle(d, netip.AddrPort{})
 		}
 	}
 	knows, known := start()
@@ -101,8 +101,8 @@
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		p := newPulse("n", fleet.New("z"), poison.New(nil), &view{limitBook: testBook(), targetBook: testBook()}, log)
-		p.take(datagram, netip.AddrPort{})
+		p := newPeerExchange("n", fleet.New("z"), poison.New(nil), &view{customerLimiter: testBook(), targetLimiter: testBook()}, log)
+		p.handle(datagram, netip.AddrPort{})
 		if n := len(p.fleet.IDs()); n != 0 {
 			t.Errorf("a pulse made %d targets", n)
 		}
@@ -149,7 +149,7 @@
 	f.Put(fleet.Runner{ID: "r", Service: "lm", Address: "r:1", Weights: map[string]int64{model: 1}})
 	parts := []prefix.Boundary{{Hash: 1, Tokens: 400}, {Hash: 2, Tokens: 900}}
 	f.Begin(fleet.Life{ID: "r"}, fleet.Stay{Chain: prefix.Chain{Tokens: 900, Boundaries: parts}}, time.Now())
-	p := newPulse("n", f, poison.New(nil), &view{limitBook: testBook(), targetBook: testBook()}, nil)
+	p := newPeerExchange("n", f, poison.New(nil), &view{customerLimiter: testBook(), targetLimiter: testBook()}, nil)
 	p.send(peering.Plan{})
 	if n := len(f.Findings(time.Now())); n != 0 {
 		t.Errorf("%d findings are kept for nobody", n)
--- a/node/start_test.go
+++ b/node/start_test.go
@@ -44,7 +44,7 @@
 				n.cancel()
 				t.Fatal("the node started with a port taken")
 			}
-			if n.doors.front != nil {
+			if n.listeners.front != nil {
 				t.Errorf("the front is open at %s", n.FrontAddress())
 			}
 		})
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -329,12 +329,12 @@
 			t.Errorf("runner %s got no order while its nodes stopped", r.ID)
 		}
 	}
-	if _, err := platform.NewStore(w.kv.URL).Get(t.Context(), w.node.view.keys.seat); !errors.Is(err, store.ErrNotFound) {
+	if _, err := platform.NewStore(w.kv.URL).Get(t.Context(), w.node.view.keys.leader); !errors.Is(err, store.ErrNotFound) {
 		t.Errorf("the orders are still somebody's after all have ended (%v)", err)
 	}
 }
 
 func (w *world) holds(n *Node) bool {
-	_, held := n.view.seat.Held()
+	_, held := n.view.leaderLock.Held()
 	return held
 }
--- a/node/view.go
+++ b/node/view.go
@@ -25,23 +25,23 @@
 
 // view implements platform.View and router.Configuration.
 type view struct {
-	fleet    *fleet.Fleet
-	log      logrus.FieldLogger
-	follower *follow.Follower
-	seat     *rollout.LeaderLock
-	holder   *rollout.Controller
-	verdicts *verdicts.Keeper
+	fleet      *fleet.Fleet
+	log        logrus.FieldLogger
+	follower   *follow.Follower
+	leaderLock *rollout.LeaderLock
+	controller *rollout.Controller
+	verdicts   *verdicts.Keeper
 	// staleAfter is the age beyond which keys are not believed.
 	staleAfter time.Duration
-	// oldWeights is for how long after newer ones were named older weights serve.
-	oldWeights time.Duration
-	keys       ownKeys
+	// oldWeightsLimit is for how long after newer ones were named older weights serve.
+	oldWeightsLimit time.Duration
+	keys            systemKeys
 
 	config atomic.Pointer[catalog.Config]
-	// limitBook holds what customers used of their limits.
-	limitBook *quota.Limiter
-	// targetBook holds what all entries sent to targets that name limits.
-	targetBook *quota.Limiter
+	// customerLimiter holds what customers used of their limits.
+	customerLimiter *quota.Limiter
+	// targetLimiter holds what all entries sent to targets that name limits.
+	targetLimiter *quota.Limiter
 
 	// self is this node's key among the members.
 	self string
@@ -49,33 +49,33 @@
 	mu sync.Mutex
 	// members are the nodes that serve, by their keys.
 	members map[string]peering.Member
-	// leavers are those that left within grace, which is how long a process may take to
+	// departed are those that left within grace, which is how long a process may take to
 	// stop.
-	leavers leavers
-	grace   time.Duration
-	count   entryCount
-	// planned is what this node has to do with them; nil until it is asked for
+	departed  departedMembers
+	grace     time.Duration
+	nodeCount nodeCount
+	// cachedPlan is what this node has to do with them; nil until it is asked for
 	// after a change.
-	planned *peering.Plan
-	// place is what was logged of it last.
-	place place
-	// lapsed are the targets whose entries vanished around an outage of the
+	cachedPlan *peering.Plan
+	// loggedPosition is what was logged of it last.
+	loggedPosition groupPosition
+	// removalTimers are the targets whose entries vanished around an outage of the
 	// store, with the timers that end their respite.
-	lapsed map[string]*time.Timer
-	// foreign are the entries that name nothing to use.
-	foreign *foreign
+	removalTimers map[string]*time.Timer
+	// skipped are the entries that name nothing to use.
+	skipped *skippedEntries
 }
 
-// ownKeys are the keys of the system's own.
-type ownKeys struct {
-	seat    string
+// systemKeys are the keys of the system's own.
+type systemKeys struct {
+	leader  string
 	members string
-	// count is of how many entries there have been lately.
-	count string
+	// nodeCount is of how many entries there have been lately.
+	nodeCount string
 }
 
-func ownKeysOf() ownKeys {
-	return ownKeys{seat: platform.OwnPrefix + "orders", members: platform.OwnPrefix + "members/", count: platform.OwnPrefix + "entries"}
+func newSystemKeys() systemKeys {
+	return systemKeys{leader: platform.OwnPrefix + "orders", members: platform.OwnPrefix + "members/", nodeCount: platform.OwnPrefix + "entries"}
 }
 
 // Config implements router.Configuration.
@@ -117,14 +117,14 @@
 		}
 	}
 	v.fleet.SetStores(stores)
-	v.limitBook.SetLimits(c.CustomerLimits(), time.Now())
-	v.name(c.Services)
+	v.customerLimiter.SetLimits(c.CustomerLimits(), time.Now())
+	v.activatePending(c.Services)
 	v.log.WithFields(logrus.Fields{"event": "config_applied", "version": c.Version, "routes": len(c.Routes), "customers": len(c.Customers)}).Info("configuration in force")
 }
 
-// newsLag is how old news of the store may be when it is heard: the pause after other
+// changeLag is how old news of the store may be when it is heard: the pause after other
 // news before the next watch, and the way over the member that watches for its group.
-const newsLag = gather + 100*time.Millisecond
+const changeLag = batchDelay + 100*time.Millisecond
 
 // namedAt returns since when new weights are taken to be wanted: their bound runs from
 // the store's word, which may be as old as news gets. One that finds them in a listing
@@ -135,9 +135,9 @@
 // as old as the bound, and requests would begin on them after it.
 func (v *view) namedAt(model string, listed bool, now time.Time) (at time.Time, guessed bool) {
 	if !listed {
-		return now.Add(-newsLag), false
+		return now.Add(-changeLag), false
 	}
-	earliest := now.Add(-v.oldWeights)
+	earliest := now.Add(-v.oldWeightsLimit)
 	age, ok := v.follower.Age()
 	if !ok || v.fleet.Newest(model) == 0 {
 		return earliest, true
@@ -157,7 +157,7 @@
 	}
 	fields := logrus.Fields{"event": "weights_named", "model": n.Model, "weights": n.Version, "revision": n.Revision, "listed": n.Listed, "guessed": guessed, "age_ms": now.Sub(at).Milliseconds()}
 	v.log.WithFields(fields).Info("new weights are wanted")
-	v.holder.Wake()
+	v.controller.Wake()
 }
 
 // oldestNaming returns for how long the oldest naming of weights has not been in
@@ -178,7 +178,7 @@
 
 // Listed implements platform.View.
 func (v *view) Listed(r fleet.Runner, revision int64) {
-	if !v.known(r, revision) {
+	if !v.serviceKnown(r, revision) {
 		return
 	}
 	if !v.fleet.Put(r) {
@@ -186,19 +186,19 @@
 		return
 	}
 	v.mu.Lock()
-	v.stay(r.ID)
+	v.cancelRemoval(r.ID)
 	v.mu.Unlock()
 	v.log.WithFields(logrus.Fields{"event": "target_listed", "target": r.ID, "born": r.Born, "address": r.Address, "draining": r.Draining, "weights": r.Weights}).Info("the list says so")
 }
 
-// respite is how long after the store's return an entry that vanished meanwhile
+// recoveryGrace is how long after the store's return an entry that vanished meanwhile
 // may still come back; one missing then is gone.
-const respite = 1800 * time.Millisecond
+const recoveryGrace = 1800 * time.Millisecond
 
-// reborn logs the first sign of a target's later life.
-func (v *view) reborn(now, former fleet.Life) {
+// targetRestarted logs the first sign of a target's later life.
+func (v *view) targetRestarted(now, former fleet.Life) {
 	v.log.WithFields(logrus.Fields{"event": "target_reborn", "target": now.ID, "born": now.Born, "former": former.Born}).Info("the target started again; what was kept of its former life has ended")
-	v.holder.Wake()
+	v.controller.Wake()
 	v.verdicts.Table.RecordCrash(former, time.Now())
 }
 
@@ -206,23 +206,23 @@
 // written, so around an outage one that vanishes says nothing of its target,
 // whose own answers go on telling how it does.
 func (v *view) Gone(id string) {
-	v.foreign.release(id)
-	v.foreign.forget(platform.TargetKey(id))
+	v.skipped.removePending(id)
+	v.skipped.clear(platform.TargetKey(id))
 	since, back := v.follower.SinceRecovery()
-	if !back || since >= respite {
-		v.drop(id)
+	if !back || since >= recoveryGrace {
+		v.removeUnlisted(id)
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.lapsed[id] == nil {
-		v.lapsed[id] = time.AfterFunc(respite-since, func() { v.drop(id) })
+	if v.removalTimers[id] == nil {
+		v.removalTimers[id] = time.AfterFunc(recoveryGrace-since, func() { v.removeUnlisted(id) })
 	}
 }
 
-func (v *view) drop(id string) {
+func (v *view) removeUnlisted(id string) {
 	v.mu.Lock()
-	v.stay(id)
+	v.cancelRemoval(id)
 	v.mu.Unlock()
 	if last, ok := v.fleet.Remove(id); ok && !last.Draining {
 		// Of one that said nothing of leaving, answers that broke off just before are
@@ -232,17 +232,17 @@
 	v.log.WithFields(logrus.Fields{"event": "target_gone", "target": id}).Info("the list lost the target")
 }
 
-// stay ends a respite; the caller holds mu.
-func (v *view) stay(id string) {
-	if timer := v.lapsed[id]; timer != nil {
+// cancelRemoval ends a respite; the caller holds mu.
+func (v *view) cancelRemoval(id string) {
+	if timer := v.removalTimers[id]; timer != nil {
 		timer.Stop()
-		delete(v.lapsed, id)
+		delete(v.removalTimers, id)
 	}
 }
 
 // Relisted implements platform.View.
 func (v *view) Relisted(ids map[string]bool) {
-	v.foreign.relisted(platform.TargetKey(""), func(key string) bool {
+	v.skipped.prune(platform.TargetKey(""), func(key string) bool {
 		id, _ := platform.TargetOf(key)
 		return ids[id]
 	})
@@ -255,37 +255,37 @@
 
 // Own implements platform.View.
 func (v *view) Own(key, value string, revision int64) {
-	if key == v.keys.seat {
-		v.seated(value, revision)
+	if key == v.keys.leader {
+		v.leaderChanged(value, revision)
 		return
 	}
-	if key == v.keys.count {
-		v.counted(value, revision)
+	if key == v.keys.nodeCount {
+		v.setNodeCount(value, revision)
 		return
 	}
 	if content, ok, err := verdicts.ContentOf(key); ok {
-		v.verdict(key, value, revision, content, err)
+		v.receiveVerdict(key, value, revision, content, err)
 		return
 	}
 	if !strings.HasPrefix(key, v.keys.members) {
 		return
 	}
 	if value == "" {
-		v.foreign.forget(key)
-		v.enlist(key, "")
+		v.skipped.clear(key)
+		v.setMember(key, "")
 		return
 	}
-	if fault := v.memberFault(key, value); fault != nil {
+	if fault := v.validateMember(key, value); fault != nil {
 		v.LeftOut(platform.LeftOut{Key: key, Revision: revision, Fault: fault})
 		return
 	}
-	v.enlist(key, value)
+	v.setMember(key, value)
 }
 
-// verdict takes what the store says of a verdict; an empty value is its end.
-func (v *view) verdict(key, value string, revision int64, content poison.Fingerprint, err error) {
+// receiveVerdict takes what the store says of a receiveVerdict; an empty value is its end.
+func (v *view) receiveVerdict(key, value string, revision int64, content poison.Fingerprint, err error) {
 	if err == nil && value == "" {
-		v.foreign.forget(key)
+		v.skipped.clear(key)
 		v.verdicts.Gone(content)
 		return
 	}
@@ -296,25 +296,25 @@
 		v.LeftOut(platform.LeftOut{Key: key, Revision: revision, Fault: &platform.Fault{Reason: platform.BadValue, Err: err}})
 		return
 	}
-	v.foreign.forget(key)
+	v.skipped.clear(key)
 }
 
-// seated takes what the store says of the seat; an empty value is its end.
-func (v *view) seated(holder string, revision int64) {
-	if holder != "" && !isName(holder) {
-		v.LeftOut(platform.LeftOut{Key: v.keys.seat, Revision: revision, Fault: &platform.Fault{Reason: platform.BadValue}})
+// leaderChanged takes what the store says of the seat; an empty value is its end.
+func (v *view) leaderChanged(holder string, revision int64) {
+	if holder != "" && !isInstanceName(holder) {
+		v.LeftOut(platform.LeftOut{Key: v.keys.leader, Revision: revision, Fault: &platform.Fault{Reason: platform.BadValue}})
 		return
 	}
-	v.foreign.forget(v.keys.seat)
-	v.seat.Observe(holder, revision)
-	v.holder.Wake()
+	v.skipped.clear(v.keys.leader)
+	v.leaderLock.Observe(holder, revision)
+	v.controller.Wake()
 }
 
 // membersChanged has the plan worked out anew when it is next asked for: entries
 // that start together bring a hundred changes within a second. The caller holds mu.
 func (v *view) membersChanged() {
-	v.planned = nil
-	v.countMembers()
+	v.cachedPlan = nil
+	v.updateLimitMembers()
 	v.fleet.SetMembers(v.self, slices.Collect(maps.Keys(v.members)))
 }
 
@@ -322,52 +322,52 @@
 func (v *view) plan() peering.Plan {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.planned == nil {
+	if v.cachedPlan == nil {
 		p := peering.New(v.self, slices.Collect(maps.Values(v.members)))
-		v.planned = &p
-		v.logPlace(place{group: p.Group, groups: p.GroupCount, watches: p.Joined && p.Rank == 0})
+		v.cachedPlan = &p
+		v.logPosition(groupPosition{group: p.Group, groups: p.GroupCount, watches: p.Joined && p.Rank == 0})
 	}
-	return *v.planned
+	return *v.cachedPlan
 }
 
-// place is where a node stands among the others.
-type place struct {
+// groupPosition is where a node stands among the others.
+type groupPosition struct {
 	group, groups int
 	// watches is set where it watches the store for its group.
 	watches bool
 }
 
-// logPlace logs a change of the node's place; the caller holds mu.
-func (v *view) logPlace(p place) {
-	if p == v.place {
+// logPosition logs a change of the node's place; the caller holds mu.
+func (v *view) logPosition(p groupPosition) {
+	if p == v.loggedPosition {
 		return
 	}
-	v.place = p
+	v.loggedPosition = p
 	v.log.WithFields(logrus.Fields{"event": "grouped", "group": p.group, "groups": p.groups, "watches": p.watches}).Info("the entries are divided so")
 }
 
 // OwnRelisted implements platform.View.
 func (v *view) OwnRelisted(keys map[string]bool, revision int64) {
-	v.foreign.relisted(platform.OwnPrefix, func(key string) bool { return keys[key] })
+	v.skipped.prune(platform.OwnPrefix, func(key string) bool { return keys[key] })
 	v.verdicts.Relisted(keys)
-	if !keys[v.keys.seat] {
-		v.seat.Observe("", revision)
+	if !keys[v.keys.leader] {
+		v.leaderLock.Observe("", revision)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !keys[v.keys.count] {
-		v.count.stored, v.count.revision = 0, 0
+	if !keys[v.keys.nodeCount] {
+		v.nodeCount.stored, v.nodeCount.revision = 0, 0
 	}
 	for key := range v.members {
 		if !keys[key] {
-			v.unlist(key)
+			v.removeMember(key)
 		}
 	}
 	v.membersChanged()
 }
 
-// others returns how many other nodes serve.
-func (v *view) others() int {
+// otherCount returns how many other nodes serve.
+func (v *view) otherCount() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	n := len(v.members)
--- a/node/view_test.go
+++ b/node/view_test.go
@@ -57,8 +57,8 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f := fleet.New("z")
-	v := &view{fleet: f, limitBook: testBook(), targetBook: testBook(), log: log, oldWeights: 18 * time.Second}
-	v.holder = rollout.NewController("n", rollout.Config{Fleet: f}, log)
+	v := &view{fleet: f, customerLimiter: testBook(), targetLimiter: testBook(), log: log, oldWeightsLimit: 18 * time.Second}
+	v.controller = rollout.NewController("n", rollout.Config{Fleet: f}, log)
 	return v, f
 }
 
@@ -89,7 +89,7 @@
 func TestANamingCountsFromWhenItMayHaveBeenAcknowledged(t *testing.T) {
 	v, f := quietView()
 	v.Named(platform.Naming{Model: "m", Version: 2})
-	if behind := f.BehindFor("m", 1, time.Now()); behind < gather {
-		t.Errorf("weights that were heard of just now count as wanted for %v; the pause alone is %v", behind, gather)
+	if behind := f.BehindFor("m", 1, time.Now()); behind < batchDelay {
+		t.Errorf("weights that were heard of just now count as wanted for %v; the pause alone is %v", behind, batchDelay)
 	}
 }
--- a/node/watchshare.go
+++ b/node/watchshare.go
@@ -27,82 +27,82 @@
 	mu sync.Mutex
 	// changes wait to be told.
 	changes []follow.Changes
-	// marks are the last of each member, by the hash of its name.
-	marks map[uint64]mark
+	// timestamps are the last of each member, by the hash of its name.
+	timestamps map[uint64]peerTimestamp
 }
 
-type mark struct {
+type peerTimestamp struct {
 	clock uint64
 	at    time.Time
 }
 
 func newWatchShare(self uint64) watchShare {
-	return watchShare{self: self, marks: map[uint64]mark{}}
+	return watchShare{self: self, timestamps: map[uint64]peerTimestamp{}}
 }
 
 // Figures of the shared watch.
 const (
-	// changesMost is how many bytes of changes of one watch are told; what is larger,
+	// maxSharedBytes is how many bytes of changes of one watch are told; what is larger,
 	// such as a whole configuration, each member reads itself: to 24 others this much
 	// takes a link of 20 Mbit/s for a quarter of a second.
-	changesMost = 24 << 10
-	// changeBytes is about what a change takes beside its key and value.
-	changeBytes = 16
-	// patienceFirst is for how long a node lives on what the member first in turn
+	maxSharedBytes = 24 << 10
+	// changeOverhead is about what a change takes beside its key and value.
+	changeOverhead = 16
+	// peerTimeoutBase is for how long a node lives on what the member first in turn
 	// confirmed: two of its watches, the gathering of news and three pulses.
-	patienceFirst = 1500 * time.Millisecond
-	// patienceStep is how much longer each further one waits, so that one after the
+	peerTimeoutBase = 1500 * time.Millisecond
+	// peerTimeoutStep is how much longer each further one waits, so that one after the
 	// other takes the watch over; patienceMost bounds it below the age at which
 	// keys are no longer trusted.
-	patienceStep = 50 * time.Millisecond
-	patienceMost = 2400 * time.Millisecond
-	// markValid is for how long a member's mark is repeated.
-	markValid = 2 * time.Second
+	peerTimeoutStep = 50 * time.Millisecond
+	peerTimeoutMax  = 2400 * time.Millisecond
+	// timestampValidity is for how long a member's mark is repeated.
+	timestampValidity = 2 * time.Second
 )
 
-// patienceAt returns for how long a node with so many members of its group before it
+// peerTimeoutAt returns for how long a node with so many members of its group before it
 // waits for their word.
-func patienceAt(turn int) time.Duration {
-	if turn == 0 {
+func peerTimeoutAt(rank int) time.Duration {
+	if rank == 0 {
 		return 0
 	}
-	return min(patienceMost, patienceFirst+time.Duration(turn)*patienceStep)
+	return min(peerTimeoutMax, peerTimeoutBase+time.Duration(rank)*peerTimeoutStep)
 }
 
-// patience implements follow.Timing.Patience.
-func (v *view) patience() time.Duration {
+// peerTimeout implements follow.Timing.Patience.
+func (v *view) peerTimeout() time.Duration {
 	p := v.plan()
 	if !p.Joined {
 		return 0
 	}
-	return patienceAt(p.Rank)
+	return peerTimeoutAt(p.Rank)
 }
 
-// watched takes changes that an own watch brought, to be told at once.
-func (p *pulse) watched(c follow.Changes) {
+// shareChanges takes changes that an own watch brought, to be told at once.
+func (p *peerExchange) shareChanges(c follow.Changes) {
 	if p.fleet.Off(policy.SharedWatch) {
 		return
 	}
-	pieces, ok := divideChanges(c)
+	pieces, ok := splitChanges(c)
 	if !ok {
 		return
 	}
 	p.watch.mu.Lock()
 	p.watch.changes = append(p.watch.changes, pieces...)
 	p.watch.mu.Unlock()
-	p.soon()
+	p.sendSoon()
 }
 
-// divideChanges divides changes into pieces of which each fits a packet, if no
+// splitChanges divides changes into pieces of which each fits a packet, if no
 // single value is larger; ok is false where they are not to be told. Each piece
 // begins where the one before it ends, so who misses one knows by the next. Changes
 // of one revision stay together.
-func divideChanges(c follow.Changes) (pieces []follow.Changes, ok bool) {
+func splitChanges(c follow.Changes) (pieces []follow.Changes, ok bool) {
 	total, size := 0, 0
 	piece := follow.Changes{After: c.After, SinceRecovery: c.SinceRecovery}
 	for i, e := range c.Events.Events {
-		bytes := len(e.Key) + len(e.Value) + changeBytes
-		if total += bytes; e.Unread != nil || total > changesMost {
+		bytes := len(e.Key) + len(e.Value) + changeOverhead
+		if total += bytes; e.Unread != nil || total > maxSharedBytes {
 			return nil, false
 		}
 		if i > 0 && size+bytes > pulses.DatagramBytes && e.Revision > piece.Events.Revision {
@@ -125,30 +125,30 @@
 	return out
 }
 
-// heardMark notes a member's mark.
-func (w *watchShare) heardMark(sender string, clock uint64, now time.Time) {
+// recordTimestamp notes a member's mark.
+func (w *watchShare) recordTimestamp(sender string, clock uint64, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	hash := prefix.NameHash(sender)
-	if m := w.marks[hash]; clock > m.clock {
-		w.marks[hash] = mark{clock: clock, at: now}
+	if m := w.timestamps[hash]; clock > m.clock {
+		w.timestamps[hash] = peerTimestamp{clock: clock, at: now}
 	}
-	for other, m := range w.marks {
-		if now.Sub(m.at) > markValid {
-			delete(w.marks, other)
+	for other, m := range w.timestamps {
+		if now.Sub(m.at) > timestampValidity {
+			delete(w.timestamps, other)
 		}
 	}
 }
 
 // storeView returns what this node confirms of the store, or nil. The marks are
 // taken before the age is worked out.
-func (p *pulse) storeView() *keelv1.StoreView {
+func (p *peerExchange) storeView() *keelv1.StoreView {
 	if p.view.follower == nil || p.fleet.Off(policy.SharedWatch) {
 		return nil
 	}
 	out := &keelv1.StoreView{}
 	p.watch.mu.Lock()
-	for hash, m := range p.watch.marks {
+	for hash, m := range p.watch.timestamps {
 		out.Member = append(out.Member, hash)
 		out.HeardUs = append(out.HeardUs, m.clock)
 	}
@@ -161,10 +161,10 @@
 	return out
 }
 
-// takeStore takes what a member tells of the store.
-func (p *pulse) takeStore(message *keelv1.Pulse) {
+// receiveStore takes what a member tells of the store.
+func (p *peerExchange) receiveStore(message *keelv1.Pulse) {
 	if message.MarkUs > 0 {
-		p.watch.heardMark(message.Sender, message.MarkUs, time.Now())
+		p.watch.recordTimestamp(message.Sender, message.MarkUs, time.Now())
 	}
 	if p.view.follower == nil || p.fleet.Off(policy.SharedWatch) {
 		return
@@ -194,8 +194,8 @@
 	return w
 }
 
-// tellChanges tells the peers of changes of the store.
-func (p *pulse) tellChanges(all []follow.Changes, addresses []string) {
+// sendChanges tells the peers of changes of the store.
+func (p *peerExchange) sendChanges(all []follow.Changes, addresses []string) {
 	for _, c := range all {
 		datagram, err := pulses.Encode(&keelv1.Pulse{Sender: p.name, Changes: []*keelv1.StoreChanges{encodeChanges(c)}})
 		if err != nil {
