--- a/node/digest.go
+++ b/node/digest.go
@@ -26,7 +26,7 @@
 	// pending is the group's news for each other group that this node may relay to.
 	pending map[int]*pulses.Update
 	// sentTargets are the targets whose load was sentTargets last, by group; toldAt is when.
-	sentTargets map[int]map[fleet.Life]bool
+	sentTargets map[int]map[fleet.Instance]bool
 	sentAt      map[int]time.Time
 	// overdraft is how many bytes beyond its share the last digest to a group took.
 	overdraft map[int]int
@@ -142,7 +142,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.sentAt == nil {
-		d.sentAt, d.sentTargets, d.overdraft = map[int]time.Time{}, map[int]map[fleet.Life]bool{}, map[int]int{}
+		d.sentAt, d.sentTargets, d.overdraft = map[int]time.Time{}, map[int]map[fleet.Instance]bool{}, map[int]int{}
 	}
 	var out []dueLink
 	for _, l := range plan.Links {
@@ -171,7 +171,7 @@
 	all := *d.pending[l.group]
 	*d.pending[l.group] = pulses.Update{}
 	all.Loads = loads
-	now := map[fleet.Life]bool{}
+	now := map[fleet.Instance]bool{}
 	for _, o := range loads {
 		now[o.Target] = true
 	}
@@ -191,8 +191,8 @@
 // groupUpdate returns what the node's group tells another one.
 func (p *peerExchange) groupUpdate(l dueLink) pulses.Update {
 	now := time.Now()
-	all := p.relay.takePending(l, p.fleet.GroupLoad(now))
-	all.Engines = p.fleet.GroupWords(now)
+	all := p.relay.takePending(l, p.fleet.GroupOccupancy(now))
+	all.Engines = p.fleet.GroupEngineReports(now)
 	all.Limits, all.TargetLimits = p.view.customerLimiter.GroupUpdate(l.group, now), p.view.targetLimiter.GroupUpdate(l.group, now)
 	p.relay.count(digestSent)
 	return all
@@ -210,12 +210,12 @@
 	}
 	now := time.Now()
 	p.receiveLimits(message, now)
-	p.fleet.HeardGroupLoad(int(g.Group), pulses.DecodeGroupLoads(g), now)
+	p.fleet.MergeGroupOccupancy(int(g.Group), pulses.DecodeGroupLoads(g), now)
 	p.receiveFindings(message, now)
 	p.receiveSuspects(message, now)
-	p.fleet.HeardGroupCaches(int(g.Group), pulses.DecodeCaches(message.Caches), now)
+	p.fleet.MergeGroupCacheUpdates(int(g.Group), pulses.DecodeCaches(message.Caches), now)
 	p.receiveSaves(message, now)
-	p.fleet.HeardGroupWords(int(g.Group), pulses.DecodeEngines(message.Engines), now)
+	p.fleet.MergeGroupEngineReports(int(g.Group), pulses.DecodeEngines(message.Engines), now)
 	if g.PassedOn || !p.relay.shouldForward(plan, int(g.Group), now) {
 		return
 	}
--- a/node/foreign.go
+++ b/node/foreign.go
@@ -36,7 +36,7 @@
 
 // pendingTarget is a sound entry that waits for a configuration to name its service.
 type pendingTarget struct {
-	runner   fleet.Runner
+	runner   fleet.Target
 	revision int64
 }
 
@@ -93,7 +93,7 @@
 
 // holdPending keeps a target's entry and returns true if its service is not named yet.
 // told is set where a configuration has come, by which it can be judged.
-func (f *skippedEntries) holdPending(r fleet.Runner, revision int64) (waiting, judged bool) {
+func (f *skippedEntries) holdPending(r fleet.Target, revision int64) (waiting, judged bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.knownServices[r.Service] {
@@ -127,7 +127,7 @@
 
 // serviceKnown reports whether a target's service is one that the configuration names.
 // If not, the target is used no more; its entry waits for a configuration that does.
-func (v *view) serviceKnown(r fleet.Runner, revision int64) bool {
+func (v *view) serviceKnown(r fleet.Target, revision int64) bool {
 	waiting, judged := v.skipped.holdPending(r, revision)
 	if !waiting {
 		v.skipped.removePending(r.ID)
--- a/node/pulse.go
+++ b/node/pulse.go
@@ -197,11 +197,11 @@
 
 // collectUpdate takes what there is to tell now.
 func (p *peerExchange) collectUpdate(now time.Time) pulses.Update {
-	all := pulses.Update{Loads: p.fleet.Occupied(maxLoads), Findings: p.fleet.Findings(now), Caches: p.fleet.News(now), Saves: p.fleet.Saves(), Suspects: p.table.NextReports(now)}
+	all := pulses.Update{Loads: p.fleet.LocalOccupancy(maxLoads), Findings: p.fleet.TargetUpdates(now), Caches: p.fleet.CacheUpdates(now), Saves: p.fleet.Saves(), Suspects: p.table.NextReports(now)}
 	if now.Sub(p.enginesSentAt) >= engineInterval {
-		all.Engines, p.enginesSentAt = p.fleet.Words(now), now
+		all.Engines, p.enginesSentAt = p.fleet.EngineReports(now), now
 	}
-	if p.fleet.Off(policy.LoadSharing) {
+	if p.fleet.Disabled(policy.LoadSharing) {
 		all.Loads = nil
 	}
 	all.Limits, all.TargetLimits = p.view.customerLimiter.PeerUpdate(now), p.view.targetLimiter.PeerUpdate(now)
@@ -241,18 +241,18 @@
 	p.relay.memberSeen(message.Sender, now)
 	p.noteContact(message.Sender, from, now)
 	if message.WholeLoad {
-		p.fleet.HeardLoad(message.Sender, pulses.DecodeLoads(message.Loads), now)
+		p.fleet.MergeOccupancy(message.Sender, pulses.DecodeLoads(message.Loads), now)
 	}
 	p.receiveLimits(&message, now)
 	p.receiveStore(&message)
 	p.receiveNamings(&message, now)
 	p.relay.addPending(pulses.Update{
 		Findings: p.receiveFindings(&message, now),
-		Caches:   p.fleet.HeardCaches(message.Sender, pulses.DecodeCaches(message.Caches), now),
+		Caches:   p.fleet.MergeCacheUpdates(message.Sender, pulses.DecodeCaches(message.Caches), now),
 		Saves:    p.receiveSaves(&message, now),
 		Suspects: p.receiveSuspects(&message, now),
 	})
-	p.fleet.HeardWords(message.Sender, pulses.DecodeEngines(message.Engines), now)
+	p.fleet.MergeEngineReports(message.Sender, pulses.DecodeEngines(message.Engines), now)
 }
 
 // Figures of meetings.
@@ -327,22 +327,22 @@
 }
 
 // namings returns what an entry that starts needs to know of namings.
-func (p *peerExchange) namings(now time.Time) []fleet.Naming {
-	return p.fleet.Namings(p.view.oldWeightsLimit, now)
+func (p *peerExchange) namings(now time.Time) []fleet.DesiredVersion {
+	return p.fleet.DesiredHistory(p.view.oldWeightsLimit, now)
 }
 
 // namingsLag is how old a word on namings may be beside what it says.
 const namingsLag = 100 * time.Millisecond
 
 func (p *peerExchange) receiveNamings(message *keelv1.Pulse, now time.Time) {
-	for _, n := range p.fleet.HeardNamings(pulses.DecodeNamings(message.Namings), now.Add(-namingsLag)) {
+	for _, n := range p.fleet.MergeDesiredHistory(pulses.DecodeNamings(message.Namings), now.Add(-namingsLag)) {
 		p.log.WithFields(logrus.Fields{"event": "namings_heard", "from": message.Sender, "model": n.Model, "weights": n.Version, "age_ms": n.Age.Milliseconds()}).Info("another entry tells since when the weights are wanted")
 	}
 }
 
-func (p *peerExchange) receiveFindings(message *keelv1.Pulse, now time.Time) []fleet.Finding {
+func (p *peerExchange) receiveFindings(message *keelv1.Pulse, now time.Time) []fleet.TargetUpdate {
 	all := pulses.DecodeFindings(message.Findings)
-	p.logTargetReports(p.fleet.HeardFindings(all, now), message.Sender)
+	p.logTargetReports(p.fleet.MergeTargetUpdates(all, now), message.Sender)
 	return all
 }
 
@@ -354,7 +354,7 @@
 
 func (p *peerExchange) receiveSaves(message *keelv1.Pulse, now time.Time) []fleet.Saves {
 	all := pulses.DecodeSaves(message.Saves)
-	p.fleet.HeardSaves(all, now)
+	p.fleet.MergeSaves(all, now)
 	return all
 }
 
--- a/node/watchshare.go
+++ b/node/watchshare.go
@@ -80,7 +80,7 @@
 
 // shareChanges takes changes that an own watch brought, to be told at once.
 func (p *peerExchange) shareChanges(c follow.Changes) {
-	if p.fleet.Off(policy.SharedWatch) {
+	if p.fleet.Disabled(policy.SharedWatch) {
 		return
 	}
 	pieces, ok := splitChanges(c)
@@ -143,7 +143,7 @@
 // storeView returns what this node confirms of the store, or nil. The marks are
 // taken before the age is worked out.
 func (p *peerExchange) storeView() *keelv1.StoreView {
-	if p.view.follower == nil || p.fleet.Off(policy.SharedWatch) {
+	if p.view.follower == nil || p.fleet.Disabled(policy.SharedWatch) {
 		return nil
 	}
 	out := &keelv1.StoreView{}
@@ -166,7 +166,7 @@
 	if message.MarkUs > 0 {
 		p.watch.recordTimestamp(message.Sender, message.MarkUs, time.Now())
 	}
-	if p.view.follower == nil || p.fleet.Off(policy.SharedWatch) {
+	if p.view.follower == nil || p.fleet.Disabled(policy.SharedWatch) {
 		return
 	}
 	for _, c := range message.Changes {
