--- a/node/answers_test.go
+++ b/node/answers_test.go
@@ -16,11 +16,10 @@
 	"acaciakeel/internal/standin/runner"
 )
 
-// A client sends a head and half of a body, and its time ends. It read 400, which
-// it doesn't repeat, and only once the rest had come. It must read at once that
-// nothing ran, and that the connection, which has half a body on it, ends.
-func TestBodyThatIsLateIsAPromise(t *testing.T) {
-	w := newWorld(t)
+// Guards against a 400, or an answer held back until the rest arrives, when a request body
+// outlasts its deadline: the client must get 408 at once and the connection must be closed.
+func TestLateBodyIsReportedNotRun(t *testing.T) {
+	w := newEnv(t)
 	for _, framing := range []struct{ header, half string }{
 		{"Content-Length: 10", "half "},
 		{"Transfer-Encoding: chunked", "5\r\nhalf \r\n"},
@@ -33,8 +32,9 @@
 			defer c.conn.Close()
 			fmt.Fprintf(c.conn, "POST /hold/x HTTP/1.1\r\nHost: h.example\r\nRequest-Id: late\r\nKey: %s\r\nDeadline-Ms: 100\r\n%s\r\n\r\n%s",
 				goodKey, framing.header, framing.half)
-			// The rest never comes: an answer that waits for it fails by this bound.
-			_ = c.conn.SetReadDeadline(time.Now().Add(patience))
+			// The rest of the body never arrives: an answer that waits for it runs into this
+			// deadline.
+			_ = c.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 			resp, err := http.ReadResponse(c.in, nil)
 			if err != nil {
 				t.Fatal(err)
@@ -45,18 +45,18 @@
 				t.Errorf("answered %d %s, connection to close %v (%v)", resp.StatusCode, body, resp.Close, err)
 			}
 			if _, err := bufio.NewReader(c.in).ReadByte(); err != io.EOF {
-				t.Errorf("the connection ended with %v, want its plain end", err)
+				t.Errorf("the connection ended with %v, want EOF", err)
 			}
 		})
 	}
-	if n := len(w.ran(w.desks)); n != 0 {
+	if n := len(w.executed(w.plainTargets)); n != 0 {
 		t.Errorf("%d runs", n)
 	}
 }
 
-// odd stands before a target and answers requests of clients with a status that
-// no final answer has, bearing the request's id and a seal.
-func odd(t *testing.T, d *runner.Runner, status string, runs *atomic.Int64) *httptest.Server {
+// invalidStatusProxy is a proxy for a target that answers clients' requests with a status that
+// no final answer has, with the request's id and a seal.
+func invalidStatusProxy(t *testing.T, d *runner.Runner, status string, runs *atomic.Int64) *httptest.Server {
 	t.Helper()
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: d.Address()})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -78,18 +78,18 @@
 	return server
 }
 
-// A target answers with a status below 200 that is final. The client's connection
-// ended without a word. It must read that the outcome isn't known, after one run.
-func TestAnswerWithNoFinalStatusIsNone(t *testing.T) {
+// Guards against a connection closed without an answer when a target's final status is below
+// 200: the client must get 502 after one run.
+func TestInvalidFinalStatusIsUnknownOutcome(t *testing.T) {
 	for _, status := range []string{"007", "101"} {
 		t.Run(status, func(t *testing.T) {
-			w := newWorld(t)
+			w := newEnv(t)
 			var runs atomic.Int64
-			e := w.desks[0].EntryAt("ready", odd(t, w.desks[0], status, &runs).Listener.Addr().String())
-			leaving := w.desks[1].Entry("draining")
+			e := w.plainTargets[0].EntryAt("ready", invalidStatusProxy(t, w.plainTargets[0], status, &runs).Listener.Addr().String())
+			leaving := w.plainTargets[1].Entry("draining")
 			w.store.Set(e.Key, e.Value)
 			w.store.Set(leaving.Key, leaving.Value)
-			w.until("a hold meets the odd target", func() bool {
+			w.until("a hold reaches the target with the invalid status", func() bool {
 				a := w.send("POST", "/hold/x", "box", nil)
 				met := runs.Load()
 				if a.err != nil || met > 1 || (met == 1 && a.status != http.StatusBadGateway) {
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -10,10 +10,10 @@
 	"acaciakeel/prefix"
 )
 
-// BenchmarkRound is one round of telling among 103 entries before 160 runners, with
-// six requests of each under way; divide by 103 for one entry.
+// BenchmarkRound is one update of each of 103 nodes with 160 runners and six requests per node
+// in progress; divide by 103 for one node.
 func BenchmarkRound(b *testing.B) {
-	h := newHall(103)
+	h := newCluster(103)
 	for i, p := range h.nodes {
 		for r := range 160 {
 			p.fleet.Put(fleet.Target{ID: fmt.Sprintf("i-%010d", r), Service: "lm", Address: fmt.Sprintf("10.1.0.%d:80", r), Slots: 16, Weights: map[string]int64{model: 1}})
--- a/node/digest.go
+++ b/node/digest.go
@@ -13,93 +13,95 @@
 	"acaciakeel/pulses"
 )
 
-// groupRelay is what a node relays between its group and the others. Each group tells
-// each other one what its members have together, by one member that tells one
-// there, who passes it on: a node hears of a hundred others in the datagrams of its
-// own group and one summary of each other one. With 103 nodes before 160 runners the
-// busiest runner has 1.3 times the mean's arrivals; it had 6.7 times, with packed runs,
-// while each told twelve others once a second.
+// groupRelay relays state between this node's group and the other groups. Each group sends
+// each other one a digest of its members' state: one member sends it to one member there,
+// which forwards it to its own group. A node thus receives the datagrams of its own group and
+// one digest per other group instead of datagrams from a hundred nodes. With 103 nodes and 160
+// runners the busiest runner gets 1.3 times the mean number of arrivals; it got 6.7 times the
+// mean, with packed runs, when each node sent to twelve others once a second.
 type groupRelay struct {
 	mu sync.Mutex
-	// lastSeen is when each member of the group, by its name, was heard last.
+	// lastSeen is when each member of the group was last heard from, by name.
 	lastSeen map[string]time.Time
-	// pending is the group's news for each other group that this node may relay to.
+	// pending is the group's state not yet sent to each other group that this node may relay
+	// to.
 	pending map[int]*pulses.Update
-	// sentTargets are the targets whose load was sentTargets last, by group; toldAt is when.
+	// sentTargets are the targets whose load was in the last digest, by group; sentAt is when
+	// it was sent.
 	sentTargets map[int]map[fleet.Instance]bool
 	sentAt      map[int]time.Time
-	// overdraft is how many bytes beyond its share the last digest to a group took.
+	// overdraft is by how many bytes the last digest to a group exceeded its budget.
 	overdraft map[int]int
-	// outcomes counts what becomes of digests; nil counts nothing.
+	// outcomes counts digests by outcome; nil disables counting.
 	outcomes *prometheus.CounterVec
 }
 
-// What becomes of a digest; each is a label of the counter.
+// Outcomes of a digest, the values of the counter's label.
 const (
 	digestSent      = "told"
 	digestForwarded = "passed_on"
-	// digestDropped: its group was divided otherwise than this node's.
+	// digestDropped: the sender's division into groups differed from this node's.
 	digestDropped = "left_out"
 )
 
-func (d *groupRelay) count(what string) {
-	if d.outcomes != nil {
-		d.outcomes.WithLabelValues(what).Inc()
+func (r *groupRelay) count(what string) {
+	if r.outcomes != nil {
+		r.outcomes.WithLabelValues(what).Inc()
 	}
 }
 
-// Figures of digests.
+// Timing and size of digests.
 const (
-	// digestInterval is the least pause between two digests to the same group: with the
-	// pulse before it, load in another group is known after 0.15 s in the mean, less
-	// than a long prompt takes to read.
+	// digestInterval is the minimum pause between two digests to the same group: with the
+	// update interval before it, load in another group is known after 0.15 s on average, less
+	// than the prefill of a long prompt takes.
 	digestInterval = 150 * time.Millisecond
-	// digestRate bounds what a node hears from all other groups together, in bytes
-	// a second: a tenth of a link of 20 Mbit/s. Where digests grow with targets and
-	// groups, they come less often, and the news of caches that finds no room is left
-	// out: unbounded, they fill the links of all once hundreds have started anew.
+	// digestRate bounds the bytes a second that a node receives from all other groups
+	// together: a tenth of a 20 Mbit/s link. As digests grow with targets and groups they are
+	// sent less often, and cache changes that do not fit are dropped. Without the bound they
+	// fill every node's link after hundreds of nodes have restarted.
 	digestRate = 256 << 10
-	// relayTimeout is for how long a member counts as there after it was heard: two
-	// pulses of a full group and a half. Then the next in order relays.
+	// relayTimeout is how long a member counts as alive after it was last heard from: two and
+	// a half update intervals of a full group. After that the next member in order relays.
 	relayTimeout = 500 * time.Millisecond
 )
 
-// dueLink is a way to another group that this node has to take now.
+// dueLink is another group to which this node has to send a digest now.
 type dueLink struct {
 	group     int
 	addresses []string
-	// budget is how many bytes a digest may have if it is to come as often as may be.
+	// budget is the size in bytes up to which a digest may be sent at every digestInterval.
 	budget int
 }
 
-// header says whose news a digest is.
+// header identifies the group that a digest describes.
 func (l dueLink) header(plan peering.Plan) *keelv1.GroupNews {
 	return &keelv1.GroupNews{Group: uint32(plan.Group), Groups: uint32(plan.GroupCount)}
 }
 
-// memberSeen notes a sign of a member.
-func (d *groupRelay) memberSeen(name string, now time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.lastSeen == nil {
-		d.lastSeen = map[string]time.Time{}
+// memberSeen records that a member of the group was heard from.
+func (r *groupRelay) memberSeen(name string, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.lastSeen == nil {
+		r.lastSeen = map[string]time.Time{}
 	}
-	d.lastSeen[name] = now
-	for other, at := range d.lastSeen {
+	r.lastSeen[name] = now
+	for other, at := range r.lastSeen {
 		if now.Sub(at) > relayTimeout {
-			delete(d.lastSeen, other)
+			delete(r.lastSeen, other)
 		}
 	}
 }
 
-// isActiveRelay reports whether it is the turn of the node with key self to relay on a
-// link: it is if nothing is heard of those before it.
-func (d *groupRelay) isActiveRelay(l peering.Link, self string, now time.Time) bool {
+// isActiveRelay reports whether the node with key self has to relay on a link now: it does if
+// none of the relays before it was heard from recently.
+func (r *groupRelay) isActiveRelay(l peering.Link, self string, now time.Time) bool {
 	for _, key := range l.Relays {
 		if key == self {
 			return true
 		}
-		if at, ok := d.lastSeen[memberName(key)]; ok && now.Sub(at) <= relayTimeout {
+		if at, ok := r.lastSeen[memberName(key)]; ok && now.Sub(at) <= relayTimeout {
 			return false
 		}
 	}
@@ -111,96 +113,98 @@
 	return strings.TrimPrefix(key, newSystemKeys().members)
 }
 
-// addPending keeps news of the own group's members for the other groups.
-func (d *groupRelay) addPending(all pulses.Update) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, w := range d.pending {
-		w.AppendRelayed(all)
+// addPending adds the state of a member of this group to what is pending for the other groups.
+func (r *groupRelay) addPending(update pulses.Update) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, w := range r.pending {
+		w.AppendRelayed(update)
 	}
 }
 
-// addOwn keeps this node's own news, for those groups alone that it may relay to.
-func (d *groupRelay) addOwn(plan peering.Plan, own pulses.Update) {
+// addOwn adds this node's own state, and keeps pending state only for the groups that this
+// node may relay to.
+func (r *groupRelay) addOwn(plan peering.Plan, own pulses.Update) {
 	own.Loads, own.Engines = nil, nil
-	d.mu.Lock()
+	r.mu.Lock()
 	next := map[int]*pulses.Update{}
 	for _, l := range plan.Links {
 		if plan.MayRelay(l) {
-			if next[l.Group] = d.pending[l.Group]; next[l.Group] == nil {
+			if next[l.Group] = r.pending[l.Group]; next[l.Group] == nil {
 				next[l.Group] = &pulses.Update{}
 			}
 		}
 	}
-	d.pending = next
-	d.mu.Unlock()
-	d.addPending(own)
+	r.pending = next
+	r.mu.Unlock()
+	r.addPending(own)
 }
 
-// dueLinks returns the links on which this node is to tell now.
-func (d *groupRelay) dueLinks(plan peering.Plan, now time.Time) []dueLink {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.sentAt == nil {
-		d.sentAt, d.sentTargets, d.overdraft = map[int]time.Time{}, map[int]map[fleet.Instance]bool{}, map[int]int{}
+// dueLinks returns the groups to which this node has to send a digest now.
+func (r *groupRelay) dueLinks(plan peering.Plan, now time.Time) []dueLink {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.sentAt == nil {
+		r.sentAt, r.sentTargets, r.overdraft = map[int]time.Time{}, map[int]map[fleet.Instance]bool{}, map[int]int{}
 	}
 	var out []dueLink
 	for _, l := range plan.Links {
-		if d.pending[l.Group] == nil {
+		if r.pending[l.Group] == nil {
 			continue
 		}
-		if !d.isActiveRelay(l, plan.Self, now) {
-			*d.pending[l.Group] = pulses.Update{}
+		if !r.isActiveRelay(l, plan.Self, now) {
+			*r.pending[l.Group] = pulses.Update{}
 			continue
 		}
 		rate := digestRate / (plan.GroupCount - 1)
-		pause := digestInterval + time.Duration(d.overdraft[l.Group])*time.Second/time.Duration(rate)
-		if since := now.Sub(d.sentAt[l.Group]); since >= pause {
-			d.sentAt[l.Group] = now
+		pause := digestInterval + time.Duration(r.overdraft[l.Group])*time.Second/time.Duration(rate)
+		if since := now.Sub(r.sentAt[l.Group]); since >= pause {
+			r.sentAt[l.Group] = now
 			out = append(out, dueLink{group: l.Group, addresses: l.RemoteAddresses, budget: int(float64(rate) * digestInterval.Seconds())})
 		}
 	}
 	return out
 }
 
-// takePending takes the news that waits for a group: all loads, and of the rest what there
-// is room for.
-func (d *groupRelay) takePending(l dueLink, loads []fleet.Occupancy) pulses.Update {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	all := *d.pending[l.group]
-	*d.pending[l.group] = pulses.Update{}
-	all.Loads = loads
-	now := map[fleet.Instance]bool{}
+// takePending returns and clears what is pending for a group: all loads, and as much of the
+// rest as fits.
+func (r *groupRelay) takePending(l dueLink, loads []fleet.Occupancy) pulses.Update {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	update := *r.pending[l.group]
+	*r.pending[l.group] = pulses.Update{}
+	update.Loads = loads
+	current := map[fleet.Instance]bool{}
 	for _, o := range loads {
-		now[o.Target] = true
+		current[o.Target] = true
 	}
-	// What has become idle is said once, so that it does not count until it is old.
-	for life := range d.sentTargets[l.group] {
-		if !now[life] {
-			all.Loads = append(all.Loads, fleet.Occupancy{Target: life})
+	// Targets that became idle are reported once, or their last load would count until it
+	// expires.
+	for instance := range r.sentTargets[l.group] {
+		if !current[instance] {
+			update.Loads = append(update.Loads, fleet.Occupancy{Target: instance})
 		}
 	}
-	d.sentTargets[l.group] = now
-	used := len(all.Loads) * pulses.GroupLoadBytes
-	used += all.TruncateTo(max(l.budget-used, l.budget/2))
-	d.overdraft[l.group] = max(0, used-l.budget)
-	return all
+	r.sentTargets[l.group] = current
+	used := len(update.Loads) * pulses.GroupLoadBytes
+	used += update.TruncateTo(max(l.budget-used, l.budget/2))
+	r.overdraft[l.group] = max(0, used-l.budget)
+	return update
 }
 
-// groupUpdate returns what the node's group tells another one.
+// groupUpdate returns the digest of this node's group for another group.
 func (p *peerExchange) groupUpdate(l dueLink) pulses.Update {
 	now := time.Now()
-	all := p.relay.takePending(l, p.fleet.GroupOccupancy(now))
-	all.Engines = p.fleet.GroupEngineReports(now)
-	all.Limits, all.TargetLimits = p.view.customerLimiter.GroupUpdate(l.group, now), p.view.targetLimiter.GroupUpdate(l.group, now)
+	update := p.relay.takePending(l, p.fleet.GroupOccupancy(now))
+	update.Engines = p.fleet.GroupEngineReports(now)
+	update.Limits, update.TargetLimits = p.view.customerLimiter.GroupUpdate(l.group, now), p.view.targetLimiter.GroupUpdate(l.group, now)
 	p.relay.count(digestSent)
-	return all
+	return update
 }
 
-// receiveGroup takes the news of another group, and passes it on to the own one where
-// that is this node's turn. News of groups that were divided otherwise is left out:
-// the same members would count twice.
+// receiveGroup applies the digest of another group, and forwards it to this node's group if
+// this node is the active relay. Digests that assume another division into groups are dropped,
+// as the same members would be counted twice.
 func (p *peerExchange) receiveGroup(message *keelv1.Pulse) {
 	plan := p.view.plan()
 	g := message.Group
@@ -211,7 +215,7 @@
 	now := time.Now()
 	p.receiveLimits(message, now)
 	p.fleet.MergeGroupOccupancy(int(g.Group), pulses.DecodeGroupLoads(g), now)
-	p.receiveFindings(message, now)
+	p.receiveTargetUpdates(message, now)
 	p.receiveSuspects(message, now)
 	p.fleet.MergeGroupCacheUpdates(int(g.Group), pulses.DecodeCaches(message.Caches), now)
 	p.receiveSaves(message, now)
@@ -220,22 +224,22 @@
 		return
 	}
 	g.PassedOn = true
-	passed, err := pulses.Encode(message)
+	forwarded, err := pulses.Encode(message)
 	if err != nil {
-		p.log.WithError(err).WithField("event", "pulse_failed").Error("the group chooses without the news of another")
+		p.log.WithError(err).WithField("event", "pulse_failed").Error("could not encode the digest of another group; this group chooses targets without it")
 		return
 	}
 	p.relay.count(digestForwarded)
-	p.sendTo(addressesOf(plan.Peers), passed)
+	p.sendTo(addressesOf(plan.Peers), forwarded)
 }
 
-// shouldForward reports whether this node is to pass on what comes from a group.
-func (d *groupRelay) shouldForward(plan peering.Plan, group int, now time.Time) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// shouldForward reports whether this node has to forward digests from a group.
+func (r *groupRelay) shouldForward(plan peering.Plan, group int, now time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, l := range plan.Links {
 		if l.Group == group {
-			return plan.MayRelay(l) && d.isActiveRelay(l, plan.Self, now)
+			return plan.MayRelay(l) && r.isActiveRelay(l, plan.Self, now)
 		}
 	}
 	return false
--- a/node/digest_test.go
+++ b/node/digest_test.go
@@ -20,16 +20,16 @@
 	"acaciakeel/store"
 )
 
-// hall is many nodes whose datagrams are carried by hand: no network, no store.
-type hall struct {
+// cluster is a set of nodes whose datagrams are passed in memory, without network or store.
+type cluster struct {
 	nodes []*peerExchange
-	// got counts the datagrams that each node got; away are those that get none.
-	got  map[int]int
-	away map[int]bool
+	// received counts the datagrams that each node received; nodes in down receive none.
+	received map[int]int
+	down     map[int]bool
 }
 
-func newHall(n int) *hall {
-	h := &hall{got: map[int]int{}, away: map[int]bool{}}
+func newCluster(n int) *cluster {
+	h := &cluster{received: map[int]int{}, down: map[int]bool{}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	keys := newSystemKeys()
@@ -42,15 +42,15 @@
 		f := fleet.New("z0")
 		f.Put(fleet.Target{ID: "r", Service: "lm", Address: "r:1", Weights: map[string]int64{model: 1}})
 		name := fmt.Sprintf("n%d/x", own)
-		v := &view{fleet: f, customerLimiter: testBook(), targetLimiter: testBook(), log: log, keys: keys, self: keys.members + name, members: map[string]peering.Member{}}
+		v := &view{fleet: f, customerLimiter: testLimiter(), targetLimiter: testLimiter(), log: log, keys: keys, self: keys.members + name, members: map[string]peering.Member{}}
 		for other := range n {
 			v.setMember(fmt.Sprintf("%sn%d/x", keys.members, other), string(encodeMember(address(other), fmt.Sprintf("z%d", other%5))))
 		}
 		v.follower = follow.New(nil, "", follow.Options{}, nil, log)
 		p := newPeerExchange(name, f, poison.New(nil), v, log)
 		p.write = func(datagram []byte, to netip.AddrPort) {
-			if i, ok := at[to]; ok && !h.away[i] {
-				h.got[i]++
+			if i, ok := at[to]; ok && !h.down[i] {
+				h.received[i]++
 				h.nodes[i].handle(datagram, netip.MustParseAddrPort(address(own)))
 			}
 		}
@@ -59,34 +59,32 @@
 	return h
 }
 
-// round has all nodes tell once, as often as it takes for digests to be due again.
-func (h *hall) round() {
+// round has each node send one update, and waits until digests are due again.
+func (h *cluster) round() {
 	for i, p := range h.nodes {
-		if !h.away[i] {
+		if !h.down[i] {
 			p.send(p.view.plan())
 		}
 	}
 	time.Sleep(digestInterval + 5*time.Millisecond)
 }
 
-// At a hundred entries each knew a tenth of the others' load. Here one entry sends a
-// prompt: with what is told in two rounds all others count it, at any number of
-// entries, though none hears more datagrams in a round than its group and a few
-// digests; they know the parts that it had read, and later that it has ended.
+// Guards against nodes that know only the load of their own group: at a hundred nodes each
+// knew a tenth of it. All must know a prompt's load within two rounds, and its end.
 func TestLoadReachesAllGroups(t *testing.T) {
 	for _, n := range []int{20, 41, 103} {
-		h := newHall(n)
+		h := newCluster(n)
 		shared := prefix.Chain{Tokens: 900, Boundaries: []prefix.Boundary{{Hash: 1, Tokens: 400}, {Hash: 2, Tokens: 900}}}
 		ticket := h.nodes[7].fleet.Begin(fleet.Instance{ID: "r"}, fleet.RequestLoad{Chain: shared, UncachedTokens: 900, PromptTokens: 900}, time.Now())
 		h.round()
-		h.got = map[int]int{}
+		h.received = map[int]int{}
 		h.round()
 		for i, p := range h.nodes {
 			if load := p.fleet.Occupancy(fleet.Instance{ID: "r"}); load.Inflight != 1 || load.PrefillTokens != 900 {
-				t.Errorf("%d entries: n%d counts %+v", n, i, load)
+				t.Errorf("%d nodes: n%d counts %+v", n, i, load)
 			}
-			if most := 40; h.got[i] > most {
-				t.Errorf("%d entries: n%d got %d datagrams in a round", n, i, h.got[i])
+			if most := 40; h.received[i] > most {
+				t.Errorf("%d nodes: n%d got %d datagrams in a round", n, i, h.received[i])
 			}
 		}
 		ticket.End()
@@ -94,21 +92,21 @@
 		h.round()
 		for i, p := range h.nodes {
 			if load := p.fleet.Occupancy(fleet.Instance{ID: "r"}); load.Inflight != 0 {
-				t.Errorf("%d entries: n%d still counts %+v", n, i, load)
+				t.Errorf("%d nodes: n%d still counts %+v", n, i, load)
 			}
 		}
 	}
 }
 
-// The entry that relays a group's news is killed. Until the others' list says so
-// two seconds pass; its group must not be unheard of for so long.
-func TestAnotherRelaysForOneThatDied(t *testing.T) {
-	h := newHall(60)
+// Guards against a group that the others hear nothing of for the two seconds until its crashed
+// relay leaves the list of members.
+func TestSecondRelayTakesOver(t *testing.T) {
+	h := newCluster(60)
 	h.round()
 	link := h.nodes[0].view.plan().Links[0]
 	for i, p := range h.nodes {
 		if p.view.self == link.Relays[0] {
-			h.away[i] = true
+			h.down[i] = true
 		}
 	}
 	time.Sleep(relayTimeout)
@@ -119,16 +117,14 @@
 	h.round()
 	h.round()
 	for i, p := range h.nodes {
-		if p.view.plan().Group == link.Group && !h.away[i] && p.fleet.Occupancy(fleet.Instance{ID: "r"}).Inflight != 1 {
-			t.Errorf("n%d of group %d does not know", i, link.Group)
+		if p.view.plan().Group == link.Group && !h.down[i] && p.fleet.Occupancy(fleet.Instance{ID: "r"}).Inflight != 1 {
+			t.Errorf("n%d of group %d does not know of the load", i, link.Group)
 		}
 	}
 }
 
-// Three hundred entries before 3,000 targets were told all that the others' readings
-// of caches brought, up to two megabytes a second each, and after a start of all of
-// them nothing was served for half a minute. What one hears from the other groups is
-// bounded: loads come first, less often where there are many; of the rest the newest.
+// Guards against digests that fill the links: with 300 nodes and 3,000 targets each got up to
+// 2 MB/s, and after a restart of all nothing was served for half a minute.
 func TestDigestsAreBounded(t *testing.T) {
 	members := make([]peering.Member, 300)
 	for i := range members {
@@ -171,34 +167,33 @@
 			now = now.Add(updateInterval(plan, 0))
 		}
 		if rate := sent * (plan.GroupCount - 1) / 10; float64(rate) > 1.2*digestRate {
-			t.Errorf("%d targets with load: one hears %d bytes a second from the other groups", loaded, rate)
+			t.Errorf("%d targets with load: a node receives %d bytes a second from the other groups", loaded, rate)
 		}
 		if loads < loaded || kept == 0 {
-			t.Errorf("%d targets with load: %d loads and %d news of caches were told in ten seconds", loaded, loads, kept)
+			t.Errorf("%d targets with load: %d loads and %d cache changes were sent in ten seconds", loaded, loads, kept)
 		}
 	}
 }
 
-// A hundred and sixty runners change together and the one who watches tells it. What
-// it tells must fit packets, and who misses one must find out by the next: changes
-// after a gap are not to be taken.
-func TestChangesAreToldInPieces(t *testing.T) {
+// Guards against changes of the store that do not fit packets, and against members that miss a
+// piece without detecting the gap, when 160 runners change together.
+func TestChangesAreSplitIntoDatagrams(t *testing.T) {
 	c := follow.Changes{After: 100, Events: store.Events{Revision: 1000}}
 	for i := range 160 {
 		c.Events.Events = append(c.Events.Events, store.Event{Entry: store.Entry{Key: fmt.Sprintf("servers/%d", i), Value: make([]byte, 90), Revision: 101 + int64(i/2)}})
 	}
 	pieces, ok := splitChanges(c)
 	if !ok || len(pieces) < 10 {
-		t.Fatalf("%d pieces, told: %v", len(pieces), ok)
+		t.Fatalf("%d pieces, shared: %v", len(pieces), ok)
 	}
 	after, events := c.After, 0
 	for _, piece := range pieces {
 		if piece.After != after {
-			t.Errorf("a piece begins after %d, the one before ends at %d", piece.After, after)
+			t.Errorf("a piece begins after %d, the previous one ends at %d", piece.After, after)
 		}
 		for _, e := range piece.Events.Events {
 			if e.Revision <= piece.After || e.Revision > piece.Events.Revision {
-				t.Errorf("a change of revision %d stands in the piece from %d to %d", e.Revision, piece.After, piece.Events.Revision)
+				t.Errorf("a change of revision %d is in the piece from %d to %d", e.Revision, piece.After, piece.Events.Revision)
 			}
 		}
 		after, events = piece.Events.Revision, events+len(piece.Events.Events)
@@ -207,18 +202,18 @@
 		}
 	}
 	if after != 1000 || events != 160 {
-		t.Errorf("%d changes up to revision %d were told", events, after)
+		t.Errorf("%d changes up to revision %d were sent", events, after)
 	}
 	c.Events.Events[5].Value = make([]byte, maxSharedBytes)
 	if _, ok := splitChanges(c); ok {
-		t.Error("a value of the size of a whole configuration is told to everybody")
+		t.Error("a value of the size of a whole configuration is shared")
 	}
 }
 
-// An entry has started and tells the others, which the store has not told of it yet: they
-// tell it nothing. What it must not send it hears all the same, at its first pulse.
-func TestOneThatIsNoMemberYetIsAnswered(t *testing.T) {
-	h := newHall(5)
+// Guards against a starting node that knows no crash reports because the store has not yet
+// reported it to its peers: its first update must get a reply.
+func TestNonMemberGetsReply(t *testing.T) {
+	h := newCluster(5)
 	c := poison.Case{Content: poison.Content{URI: "/deadly"}.Fingerprint(), Service: "lm", Customer: "c1"}
 	ended := fleet.Instance{ID: "ended", Born: 1}
 	fresh := h.nodes[4]
@@ -229,18 +224,18 @@
 	h.nodes[0].table.RecordCrash(ended, time.Now())
 	h.nodes[0].send(h.nodes[0].view.plan())
 	if got := fresh.table.Evaluate(c.Content, time.Now()).Status; got != poison.Free {
-		t.Errorf("one that is no member is told: %s", got)
+		t.Errorf("a non-member received a report: %s", got)
 	}
 	fresh.send(fresh.view.plan())
 	if got := fresh.table.Evaluate(c.Content, time.Now()).Status; got != poison.Suspect {
-		t.Errorf("after its first pulse it holds the content for %s", got)
+		t.Errorf("after its first update it has status %s for the content", got)
 	}
 }
 
-// A request that ends runners comes at three entries of one group, and is sent to
-// another group next. Entries of other groups have to refuse it too, a moment later.
+// Guards against a crashing request that is refused by one group only and goes on to the nodes
+// of another.
 func TestVerdictReachesAllGroups(t *testing.T) {
-	h := newHall(103)
+	h := newCluster(103)
 	c := poison.Case{Content: poison.Content{URI: "/deadly"}.Fingerprint(), Service: "lm", Customer: "c1"}
 	for i := range poison.CrashThreshold {
 		ended := fleet.Instance{ID: fmt.Sprint("ended", i), Born: 1}
@@ -251,7 +246,7 @@
 	h.round()
 	for i, p := range h.nodes {
 		if got := p.table.Evaluate(c.Content, time.Now()); got.Status != poison.Refused {
-			t.Errorf("n%d of group %d: %s after %d ends", i, p.view.plan().Group, got.Status, got.Crashes)
+			t.Errorf("n%d of group %d: %s after %d crashes", i, p.view.plan().Group, got.Status, got.Crashes)
 		}
 	}
 }
--- a/node/figures.go
+++ b/node/figures.go
@@ -9,11 +9,11 @@
 	"acaciakeel/clock"
 )
 
-// engineStatsInterval is how often what was learnt of the engines is logged: often enough
-// to explain a choice, and six lines a minute for each service.
+// engineStatsInterval is how often the engine estimates are logged: often enough to explain a
+// choice, at six lines a minute for each service.
 const engineStatsInterval = 10 * time.Second
 
-// logEngineStats logs what the choices of the next seconds rest on.
+// logEngineStats logs the estimates that the choice of targets is based on.
 func (n *Node) logEngineStats(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, engineStatsInterval)
@@ -24,7 +24,7 @@
 				"fixed_ms": f.Base * 1e3, "thousand_tokens_ms": f.PerKiloToken * 1e3, "million_pairs_ms": f.PerMegaPair * 1e3,
 				"moved_runner_ms": f.RunnerTransfer * 1e3, "moved_store_ms": f.StoreTransfer * 1e3,
 				"load_ms": loads.LoadDuration().Milliseconds(), "loads_seen": loads.Samples,
-			}).Info("learnt from answers and loads")
+			}).Info("engine estimates, from responses and weight loads")
 		}
 	}
 }
--- a/node/foreign.go
+++ b/node/foreign.go
@@ -14,29 +14,29 @@
 	"acaciakeel/telemetry"
 )
 
-// skippedEntries are the entries of the store that name nothing to use: those of other
-// writers that can't be decoded, and those of services that no configuration has
-// named yet. Taken as they are, one of them would get requests that can't be
-// served there; refused as a whole, one would hide all entries beside it.
+// skippedEntries are the entries of the store that can't be used: entries of other writers
+// that can't be decoded, and targets of services that no configuration has named yet. If they
+// were accepted, requests would be sent to targets that can't serve them; if a whole read were
+// rejected because of one, all valid entries in it would be lost.
 type skippedEntries struct {
 	log   logrus.FieldLogger
 	count *prometheus.CounterVec
 
 	mu sync.Mutex
-	// loggedRevisions is the revision of each entry at which it was left out, so that a
-	// listing that finds it again says nothing new.
+	// loggedRevisions is the revision at which each skipped entry was logged, so that a
+	// listing that finds it again does not log it again.
 	loggedRevisions map[string]int64
-	// knownServices are the services that configurations have knownServices in the life of the
-	// process; nil before the first. One that is knownServices no more keeps its targets:
-	// no route leads there, but requests under way may still be sent again.
+	// knownServices are the services named by any configuration since the process started; nil
+	// before the first. A service that is no longer named keeps its targets: no route leads
+	// there, but requests in progress may still be retried there.
 	knownServices map[string]bool
-	// pending are the targets of the other services, by id.
+	// pending are the targets of services that are not known yet, by id.
 	pending map[string]pendingTarget
 }
 
-// pendingTarget is a sound entry that waits for a configuration to name its service.
+// pendingTarget is a valid entry whose service no configuration has named yet.
 type pendingTarget struct {
-	runner   fleet.Target
+	target   fleet.Target
 	revision int64
 }
 
@@ -49,75 +49,76 @@
 	}
 }
 
-// report logs and counts an entry that is left out, once a change of it.
-func (f *skippedEntries) report(e platform.LeftOut) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if revision, ok := f.loggedRevisions[e.Key]; ok && revision == e.Revision {
+// report logs and counts a skipped entry, once for each of its revisions.
+func (s *skippedEntries) report(e platform.LeftOut) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if revision, ok := s.loggedRevisions[e.Key]; ok && revision == e.Revision {
 		return
 	}
-	f.loggedRevisions[e.Key] = e.Revision
-	f.count.WithLabelValues(string(e.Fault.Reason)).Inc()
-	f.log.WithError(e.Fault).WithFields(logrus.Fields{"event": "entry_left_out", "key": e.Key, "reason": e.Fault.Reason, "revision": e.Revision}).Warn("an entry of the store names nothing to use until it changes")
+	s.loggedRevisions[e.Key] = e.Revision
+	s.count.WithLabelValues(string(e.Fault.Reason)).Inc()
+	s.log.WithError(e.Fault).WithFields(logrus.Fields{"event": "entry_left_out", "key": e.Key, "reason": e.Fault.Reason, "revision": e.Revision}).Warn("entry of the store can't be used; left out until it changes")
 }
 
-// removePending ends the waiting of a target's entry.
-func (f *skippedEntries) removePending(id string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.pending, id)
+// removePending removes a target from the pending ones.
+func (s *skippedEntries) removePending(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.pending, id)
 }
 
-// clear forgets what was said of an entry that is there no more, or good again.
-func (f *skippedEntries) clear(key string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.loggedRevisions, key)
+// removeRecord removes the record of an entry that was deleted or has become valid.
+func (s *skippedEntries) removeRecord(key string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.loggedRevisions, key)
 }
 
-// prune forgets the entries below a prefix that a listing did not find.
-func (f *skippedEntries) prune(prefix string, listed func(key string) bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for key := range f.loggedRevisions {
+// prune removes the records of entries under a prefix that a listing did not contain.
+func (s *skippedEntries) prune(prefix string, listed func(key string) bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for key := range s.loggedRevisions {
 		if strings.HasPrefix(key, prefix) && !listed(key) {
-			delete(f.loggedRevisions, key)
+			delete(s.loggedRevisions, key)
 		}
 	}
-	for id := range f.pending {
+	for id := range s.pending {
 		if key := platform.TargetKey(id); strings.HasPrefix(key, prefix) && !listed(key) {
-			delete(f.pending, id)
+			delete(s.pending, id)
 		}
 	}
 }
 
-// holdPending keeps a target's entry and returns true if its service is not named yet.
-// told is set where a configuration has come, by which it can be judged.
-func (f *skippedEntries) holdPending(r fleet.Target, revision int64) (waiting, judged bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.knownServices[r.Service] {
+// holdPending stores a target's entry and returns waiting as true if its service is not known
+// yet. judged is true if a configuration has been received, so that the service is missing
+// from it.
+func (s *skippedEntries) holdPending(r fleet.Target, revision int64) (waiting, judged bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.knownServices[r.Service] {
 		return false, true
 	}
-	f.pending[r.ID] = pendingTarget{runner: r, revision: revision}
-	return true, f.knownServices != nil
+	s.pending[r.ID] = pendingTarget{target: r, revision: revision}
+	return true, s.knownServices != nil
 }
 
-// addServices takes the services that a configuration names. It returns the targets that
-// become usable by it, and those that still don't.
-func (f *skippedEntries) addServices(services map[string]*catalog.Service) (usable, unknown []pendingTarget) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.knownServices == nil {
-		f.knownServices = map[string]bool{}
+// addServices records the services of a configuration. It returns the pending targets that
+// became usable, and those whose service is still unknown.
+func (s *skippedEntries) addServices(services map[string]*catalog.Service) (usable, unknown []pendingTarget) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.knownServices == nil {
+		s.knownServices = map[string]bool{}
 	}
 	for name := range services {
-		f.knownServices[name] = true
+		s.knownServices[name] = true
 	}
-	for id, u := range f.pending {
-		if f.knownServices[u.runner.Service] {
+	for id, u := range s.pending {
+		if s.knownServices[u.target.Service] {
 			usable = append(usable, u)
-			delete(f.pending, id)
+			delete(s.pending, id)
 		} else {
 			unknown = append(unknown, u)
 		}
@@ -125,42 +126,42 @@
 	return usable, unknown
 }
 
-// serviceKnown reports whether a target's service is one that the configuration names.
-// If not, the target is used no more; its entry waits for a configuration that does.
+// serviceKnown reports whether a configuration names the target's service. If not, the target
+// is removed and its entry is kept until one does.
 func (v *view) serviceKnown(r fleet.Target, revision int64) bool {
 	waiting, judged := v.skipped.holdPending(r, revision)
 	if !waiting {
 		v.skipped.removePending(r.ID)
-		v.skipped.clear(platform.TargetKey(r.ID))
+		v.skipped.removeRecord(platform.TargetKey(r.ID))
 		return true
 	}
 	v.removeTarget(r.ID)
 	if judged {
-		v.reportUnknownService(pendingTarget{runner: r, revision: revision})
+		v.reportUnknownService(pendingTarget{target: r, revision: revision})
 	}
 	return false
 }
 
 func (v *view) reportUnknownService(u pendingTarget) {
 	v.skipped.report(platform.LeftOut{
-		Key: platform.TargetKey(u.runner.ID), Revision: u.revision,
-		Fault: &platform.Fault{Reason: platform.UnknownService, Field: u.runner.Service},
+		Key: platform.TargetKey(u.target.ID), Revision: u.revision,
+		Fault: &platform.Fault{Reason: platform.UnknownService, Field: u.target.Service},
 	})
 }
 
-// activatePending takes in the targets whose services a configuration has come to activatePending.
+// activatePending adds the targets whose services a new configuration names.
 func (v *view) activatePending(services map[string]*catalog.Service) {
 	usable, unknown := v.skipped.addServices(services)
 	for _, u := range usable {
-		v.Listed(u.runner, u.revision)
+		v.Listed(u.target, u.revision)
 	}
 	for _, u := range unknown {
 		v.reportUnknownService(u)
 	}
 }
 
-// removeTarget takes a target out whose entry is there and can't be used. Its writer has
-// reached the store, so an outage before excuses nothing.
+// removeTarget removes a target whose entry exists but can't be used. Its writer has reached
+// the store, so the delay for entries that vanished during an outage does not apply.
 func (v *view) removeTarget(id string) {
 	v.mu.Lock()
 	v.cancelRemoval(id)
@@ -184,9 +185,9 @@
 	v.skipped.report(e)
 }
 
-// validateMember returns what is wrong with the entry of a member, or nil. One whose
-// address can't be read would be counted among those that share the work, and be
-// logged with each pulse.
+// validateMember returns what is wrong with a member's entry, or nil. A member with an
+// unreadable address would be counted among those that share the work, and cause a log line
+// with each update.
 func (v *view) validateMember(key, value string) *platform.Fault {
 	if !isInstanceName(strings.TrimPrefix(key, v.keys.members)) {
 		return &platform.Fault{Reason: platform.BadKey}
--- a/node/leavers.go
+++ b/node/leavers.go
@@ -9,9 +9,9 @@
 	"acaciakeel/pulses"
 )
 
-// departedMembers are the members that left lately. A process that stops is no member any more
-// and serves for seconds yet, and with others that stop it has nobody who is: what ends
-// targets would count anew at each of them.
+// departedMembers are the members that left recently, by key. A process that stops is no
+// longer a member but still serves for seconds. If others stop with it, no member sends to it,
+// and each process would count the targets that a request crashed from zero.
 type departedMembers map[string]departedMember
 
 type departedMember struct {
@@ -19,23 +19,23 @@
 	at time.Time
 }
 
-// add notes that a member's entry is gone.
-func (l departedMembers) add(m peering.Member, now time.Time) {
-	l[m.Key] = departedMember{m, now}
+// add records that a member's entry is gone.
+func (d departedMembers) add(m peering.Member, now time.Time) {
+	d[m.Key] = departedMember{m, now}
 }
 
-// expire forgets those that have been gone for as long as a process may take to stop.
-func (l departedMembers) expire(grace time.Duration, now time.Time) {
-	for key, m := range l {
+// expire removes those that left longer ago than a process may take to stop.
+func (d departedMembers) expire(grace time.Duration, now time.Time) {
+	for key, m := range d {
 		if now.Sub(m.at) > grace {
-			delete(l, key)
+			delete(d, key)
 		}
 	}
 }
 
-// extraRecipients returns the processes that this one tells of suspects beside its peers: those
-// that left lately and, where it is no member itself, all members, which don't know that
-// it is still there.
+// extraRecipients returns the processes other than the peers that this one sends crash reports
+// to: members that left recently and, if this process is not a member itself, all members,
+// which would not know of it otherwise.
 func (v *view) extraRecipients(now time.Time) []peering.Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -44,7 +44,7 @@
 	for _, l := range v.departed {
 		out = append(out, l.Member)
 	}
-	if _, enrolled := v.members[v.self]; enrolled {
+	if _, joined := v.members[v.self]; joined {
 		return out
 	}
 	for _, m := range v.members {
@@ -53,8 +53,7 @@
 	return out
 }
 
-// resendToNewRecipients has all that is held told once more where there is somebody new among those
-// that are told aside.
+// resendToNewRecipients has all held reports sent again if an extra recipient is new.
 func (p *peerExchange) resendToNewRecipients(extra []peering.Member, now time.Time) {
 	known := make(map[string]bool, len(extra))
 	for _, m := range extra {
@@ -66,27 +65,28 @@
 	p.knownExtra = known
 }
 
-// sendExtra tells those beside the peers of suspects, and of namings where no member
-// tells whoever starts, and returns how many it told.
-func (p *peerExchange) sendExtra(all pulses.Update, extra []peering.Member, joined bool) int {
-	message := &keelv1.Pulse{Sender: p.name, Suspects: pulses.EncodeSuspects(all.Suspects)}
+// sendExtra sends crash reports to the extra recipients. If this process is not a member it
+// adds desired versions and limits, since no member may be left to send them to a starting
+// process. It returns the number of recipients.
+func (p *peerExchange) sendExtra(update pulses.Update, extra []peering.Member, joined bool) int {
+	message := &keelv1.Pulse{Sender: p.name, Suspects: pulses.EncodeSuspects(update.Suspects)}
 	if !joined {
-		message.Namings = pulses.EncodeNamings(all.Namings)
-		message.Limits = pulses.EncodeLimits(all.Limits)[0]
+		message.Namings = pulses.EncodeNamings(update.Namings)
+		message.Limits = pulses.EncodeLimits(update.Limits)[0]
 	}
 	if len(message.Suspects)+len(message.Namings) == 0 && message.Limits == nil {
 		return 0
 	}
 	datagram, err := pulses.Encode(message)
 	if err != nil {
-		p.log.WithError(err).WithField("event", "pulse_failed").Error("entries that stop count suspects by themselves")
+		p.log.WithError(err).WithField("event", "pulse_failed").Error("could not encode crash reports; stopping nodes count crashes separately")
 		return 0
 	}
 	p.sendTo(addressesOf(extra), datagram)
 	return len(extra)
 }
 
-// setMember notes a member's entry; an empty one is its end.
+// setMember adds a member's entry; an empty value removes it.
 func (v *view) setMember(key, value string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -99,7 +99,7 @@
 	v.membersChanged()
 }
 
-// removeMember takes a member out whose entry is gone; the caller holds mu.
+// removeMember removes a member whose entry is gone; the caller holds mu.
 func (v *view) removeMember(key string) {
 	if m, ok := v.members[key]; ok && key != v.self {
 		if v.departed == nil {
@@ -110,13 +110,13 @@
 	delete(v.members, key)
 }
 
-// encodeMember is a member's entry: the address at which it hears the others, and
-// its zone.
+// encodeMember returns a member's entry: the address at which it receives datagrams, and its
+// zone.
 func encodeMember(address, zone string) []byte {
 	return []byte(address + " " + zone)
 }
 
-// decodeMember reads a member's entry. One of an earlier version names no zone.
+// decodeMember decodes a member's entry. Entries of earlier versions have no zone.
 func decodeMember(key, value string) peering.Member {
 	address, zone, _ := strings.Cut(value, " ")
 	return peering.Member{Key: key, Address: address, Zone: zone}
--- a/node/limits.go
+++ b/node/limits.go
@@ -22,27 +22,27 @@
 	"acaciakeel/telemetry"
 )
 
-// receiveLimits takes what a datagram tells of limits.
+// receiveLimits applies the limit usage in a datagram.
 func (p *peerExchange) receiveLimits(message *keelv1.Pulse, now time.Time) {
 	p.receiveUsage(p.view.customerLimiter, message, message.Limits, now)
 	p.receiveUsage(p.view.targetLimiter, message, message.TargetLimits, now)
 }
 
-// receiveUsage takes what a datagram tells of the uses of one book.
-func (p *peerExchange) receiveUsage(b *quota.Limiter, message *keelv1.Pulse, w *keelv1.LimitNews, now time.Time) {
+// receiveUsage applies the usage in a datagram to one limiter.
+func (p *peerExchange) receiveUsage(limiter *quota.Limiter, message *keelv1.Pulse, w *keelv1.LimitNews, now time.Time) {
 	if w == nil {
 		return
 	}
-	n := pulses.DecodeLimits(message.Sender, w)
+	update := pulses.DecodeLimits(message.Sender, w)
 	if message.Group != nil {
-		b.ApplyGroupUpdate(int(message.Group.Group), n, now)
+		limiter.ApplyGroupUpdate(int(message.Group.Group), update, now)
 		return
 	}
-	b.ApplyPeerUpdate(n, now)
+	limiter.ApplyPeerUpdate(update, now)
 }
 
-// updateLimitMembers has the limits shared among as many processes as serve: of one node's
-// starts the former have ended. The caller holds mu.
+// updateLimitMembers sets the number of processes that share the limits. Several starts of one
+// node count once, as the earlier ones have ended. The caller holds mu.
 func (v *view) updateLimitMembers() {
 	nodes := map[string]bool{nodeKey(v.self): true}
 	for key := range v.members {
@@ -52,38 +52,38 @@
 	v.targetLimiter.SetMembers(len(nodes))
 }
 
-// nodeKey returns what all starts of one node have in common in their members' keys.
+// nodeKey returns the part of a member's key that all starts of its node have in common.
 func nodeKey(key string) string {
 	return key[:max(0, strings.LastIndexByte(key, '/'))]
 }
 
-// Figures of the count of entries that the store keeps.
+// Timing and bounds of the node count in the store.
 const (
-	// nodeCountInterval is how often it is compared with the members.
+	// nodeCountInterval is how often it is compared with the number of members.
 	nodeCountInterval = time.Second
-	// nodeCountLowerDelay is for how long there must be fewer before the count is lowered: a day's
-	// restarts and failures must not make it forget how many come back.
+	// nodeCountLowerDelay is how long there must be fewer members before the count is lowered:
+	// a day's restarts and failures must not remove the number of nodes that will come back.
 	nodeCountLowerDelay = 30 * time.Second
-	// maxNodeCount bounds a count that is believed.
+	// maxNodeCount is the largest count that is accepted from the store.
 	maxNodeCount = 100_000
 )
 
-// nodeCount is how many entries there have been lately, as the store keeps it. After
-// all were killed at once each would take itself for the only one until it has heard of
-// the others, and let in all that a limit allows.
+// nodeCount is the recent number of nodes as kept in the store. Without it, after all nodes
+// were killed at once, each would assume that it is the only one until it hears from the
+// others, and admit the whole of each limit.
 type nodeCount struct {
 	stored, revision int64
 	belowSince       time.Time
 }
 
-// setNodeCount takes the count from the store.
+// setNodeCount applies the count from the store.
 func (v *view) setNodeCount(value string, revision int64) {
 	n, err := strconv.ParseInt(value, 10, 64)
 	if value != "" && (err != nil || n < 1 || n > maxNodeCount) {
 		v.LeftOut(platform.LeftOut{Key: v.keys.nodeCount, Revision: revision, Fault: &platform.Fault{Reason: platform.BadValue}})
 		return
 	}
-	v.skipped.clear(v.keys.nodeCount)
+	v.skipped.removeRecord(v.keys.nodeCount)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.nodeCount.stored, v.nodeCount.revision = n, revision
@@ -91,7 +91,8 @@
 	v.targetLimiter.SetRecentMembers(int(n))
 }
 
-// pendingNodeCount returns the count that the store should have, and whether it has another.
+// pendingNodeCount returns the count that the store should have, and whether it has to be
+// written.
 func (v *view) pendingNodeCount(now time.Time) (n, revision int64, due bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -106,7 +107,8 @@
 	return n, v.nodeCount.revision, true
 }
 
-// maintainNodeCount keeps the store's count of entries while this node holds the seat.
+// maintainNodeCount keeps the node count in the store up to date while this node is the
+// leader.
 func (n *Node) maintainNodeCount(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, nodeCountInterval)
@@ -119,23 +121,23 @@
 		}
 		_, err := n.store.Put(ctx, n.view.keys.nodeCount, []byte(strconv.FormatInt(count, 10)), revision, "")
 		if err != nil && !errors.Is(err, store.ErrConflict) {
-			n.log.WithError(err).WithField("event", "count_failed").Warn("entries that all start anew share limits as the store says there were before")
+			n.log.WithError(err).WithField("event", "count_failed").Warn("could not store the node count; after a restart of all nodes limits are divided by the previous one")
 		}
 	}
 }
 
-// limitMetrics are the counters of customers' limits.
+// limitMetrics are the metrics of customers' limits.
 type limitMetrics struct {
 	changes *prometheus.CounterVec
 }
 
-func newLimitMetrics(r *prometheus.Registry, book *quota.Limiter) limitMetrics {
+func newLimitMetrics(r *prometheus.Registry, limiter *quota.Limiter) limitMetrics {
 	telemetry.NewGaugeFunc(r, "keel_node_limits_part", "Part of customers' limits that is left to the entries that hear each other.", func() float64 {
-		return book.State(time.Now()).LimitFraction
+		return limiter.State(time.Now()).LimitFraction
 	})
 	telemetry.NewGaugeFunc(r, "keel_node_limits_customers_over", "Customers that were over their limits in the last seconds.", func() float64 {
 		over := 0
-		for _, u := range book.State(time.Now()).Customers {
+		for _, u := range limiter.State(time.Now()).Customers {
 			if u.Over {
 				over++
 			}
@@ -145,17 +147,17 @@
 	return limitMetrics{changes: telemetry.NewCounter(r, "keel_node_limits_changes_total", "Customers that went over their limits here, or came back within them.", "what")}
 }
 
-// limitLogInterval is how often customers over their limits are looked for.
+// limitLogInterval is how often limits are checked for changes to be logged.
 const limitLogInterval = time.Second
 
-// logLimits logs customers that go over their limits, and that come back.
+// logLimits logs when customers exceed their limits and when they are within them again.
 func (n *Node) logLimits(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, limitLogInterval)
 		for _, c := range n.view.customerLimiter.Changes(time.Now()) {
 			event, message := "customer_within", "the customer is within its limit again"
 			if c.Over {
-				event, message = "customer_over", "the customer is over its limit; what is beyond it is refused"
+				event, message = "customer_over", "the customer is over its limit; requests beyond it are refused"
 			}
 			n.limits.changes.WithLabelValues(event).Inc()
 			n.log.WithFields(logrus.Fields{
@@ -166,10 +168,10 @@
 	}
 }
 
-// serveLimits answers what this node knows of customers' use against their limits.
+// serveLimits serves this node's view of customers' usage and limits as JSON.
 func (n *Node) serveLimits(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(n.view.customerLimiter.State(time.Now())); err != nil {
-		n.log.WithError(err).WithField("event", "limits_unsent").Info("whoever asked for the limits left")
+		n.log.WithError(err).WithField("event", "limits_unsent").Info("could not send the limits; the client disconnected")
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -30,7 +30,7 @@
 	"acaciakeel/verdicts"
 )
 
-// Node is the process.
+// Node is one process of the system.
 type Node struct {
 	settings     platform.Node
 	log          logrus.FieldLogger
@@ -40,7 +40,7 @@
 	store        *platform.Store
 	front        *platform.Front
 	router       *router.Router
-	events       *fleet.CacheWatcher
+	cacheWatcher *fleet.CacheWatcher
 	exchange     *peerExchange
 	name         string
 	stopping     chan struct{}
@@ -48,28 +48,29 @@
 	limits       limitMetrics
 	targetLimits targetLimitMetrics
 	listeners    struct{ front, ready, metrics *door.Door }
-	// cancel ends all the node does, endDuties what it does for others.
+	// cancel stops everything that the node runs; cancelDuties stops what it does for the
+	// other nodes: its lease, the leader election, the node count and rollouts.
 	cancel       context.CancelFunc
 	cancelDuties context.CancelFunc
-	// membership is the node's entry among the members.
+	// membership is the state of the node's own entry among the members in the store.
 	membership struct {
 		sync.Mutex
 		revision int64
 		left     bool
 	}
-	// requestCtx is what clients' requests are served under; interrupt ends it with
-	// the reason that requests are answered with.
+	// requestCtx is the parent context of all client requests; cancelRequests cancels it with
+	// the error that unfinished requests are answered with.
 	requestCtx     context.Context
 	cancelRequests context.CancelCauseFunc
 }
 
-// Options are what the platform's settings do not say.
+// Options are the settings that are not part of the platform's settings file.
 type Options struct {
-	// MetricsPort is where metrics are served, as the deploy file says; 0 is any port.
+	// MetricsPort is the port for metrics, from the deploy file; 0 picks any free port.
 	MetricsPort int
-	// DroppedLogLines, where set, returns how many log lines were lost.
+	// DroppedLogLines, if set, returns the number of log lines lost.
 	DroppedLogLines func() int64
-	// Disabled are the mechanisms that are switched off.
+	// Disabled lists the mechanisms that are switched off.
 	Disabled policy.Disabled
 }
 
@@ -80,35 +81,36 @@
 	return o.DroppedLogLines()
 }
 
-// Figures of a node's duties.
+// Timing of the store watch, the lease and the bounds on old weights.
 const (
-	// watchTimeout is how often the store confirms the view. Keys are trusted for
-	// the deployment's bound after the last confirmation, less staleMargin. The
-	// others of the group live on the same watch, one watch, a telling and a
-	// pulse later, and are to hear of it well before they would ask themselves.
+	// watchTimeout is how long the store holds a watch open without changes, and so how often
+	// it confirms the view. API keys are trusted until the deployment's bound after the last
+	// confirmation, less staleMargin. The other members of the group depend on the same watch:
+	// a confirmation reaches them after one watch, one send and one update interval, and must
+	// do so well before they would query the store themselves.
 	watchTimeout = 500 * time.Millisecond
-	// batchDelay is how long news may wait for more of it; a configuration has
-	// seconds to come into force.
+	// batchDelay is the pause after a change before the next watch, so that changes arriving
+	// together cost one call; a configuration has seconds to take effect.
 	batchDelay = 300 * time.Millisecond
-	// staleMargin covers a watch that hears nothing for a second before it is
-	// cut, and the time from a request's arrival to its sending.
+	// staleMargin covers a watch that receives nothing for a second before it is cut, and the
+	// time from a request's arrival until it is sent on.
 	staleMargin = 1300 * time.Millisecond
-	// leaseTTL is how long the others wait for a node that died. It outlasts two
-	// calls of a slow store, so that such a store ends no lease.
+	// leaseTTL is how long the other nodes wait for a node that crashed. It is longer than two
+	// calls to a slow store, so that a slow store alone does not expire leases.
 	leaseTTL = 2 * time.Second
-	// leaseMargin is kept from the end of the lease before an order: an order
-	// takes milliseconds to arrive, and clocks run a little apart.
+	// leaseMargin is the time before the end of the lease in which no order is sent: an order
+	// takes milliseconds to arrive, and clocks run at slightly different rates.
 	leaseMargin = 400 * time.Millisecond
-	// oldWeightsMargin is kept from the bound after which no request may begin
-	// on older weights: it waits at the runner before it begins.
+	// oldWeightsMargin is subtracted from the bound after which no request may start on older
+	// weights, because a request queues at the runner before it starts.
 	oldWeightsMargin = 1500 * time.Millisecond
-	// beginMargin is kept from that bound before what waits at a runner is taken back:
-	// the end of a connection takes some ms to arrive there, on a slow link or a busy
-	// machine a tenth of a second.
+	// beginMargin is how long before that bound requests queued at a runner are cancelled:
+	// closing a connection takes some milliseconds to reach the runner, and a tenth of a
+	// second on a slow link or a busy machine.
 	beginMargin = 300 * time.Millisecond
 )
 
-// New returns a node that has not begun.
+// New returns a node that has not been started.
 func New(s platform.Node, o Options, log logrus.FieldLogger) *Node {
 	n := &Node{
 		settings: s,
@@ -154,12 +156,12 @@
 	}, log)
 	targets.OnRestart(n.view.targetRestarted)
 	targets.OnEnd(func(l fleet.Instance) { n.view.verdicts.Table.RecordCrash(l, time.Now()) })
-	watches := telemetry.NewCounter(n.registry, "keel_node_store_watches_total", "Watches of the platform's store, by reason.", "reason")
-	timing := follow.Options{WatchTimeout: watchTimeout, BatchDelay: batchDelay, PeerTimeout: n.view.peerTimeout, OnWatch: func(r follow.Reason) { watches.WithLabelValues(string(r)).Inc() }}
+	watchCounter := telemetry.NewCounter(n.registry, "keel_node_store_watches_total", "Watches of the platform's store, by reason.", "reason")
+	timing := follow.Options{WatchTimeout: watchTimeout, BatchDelay: batchDelay, PeerTimeout: n.view.peerTimeout, OnWatch: func(r follow.Reason) { watchCounter.WithLabelValues(string(r)).Inc() }}
 	n.view.follower = follow.New(n.store, platform.AllKeys, timing, platform.NewFeed(n.view), log)
 	n.view.follower.OnChanges(n.exchange.shareChanges)
 	n.registerGauges()
-	n.events = fleet.NewCacheWatcher(targets, runners)
+	n.cacheWatcher = fleet.NewCacheWatcher(targets, runners)
 	bounds := router.Bounds{OldWeights: n.view.oldWeightsLimit, Begin: time.Duration(s.Bounds.VersionMS)*time.Millisecond - beginMargin}
 	retries := router.RetryBounds{
 		Ratio:  s.Bounds.RetryRatio,
@@ -183,7 +185,7 @@
 		return float64(n.view.verdicts.Table.RefusedCount(time.Now()))
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_oldest_naming_seconds", "For how long the oldest naming of weights has not been in force everywhere; 0 where all are.", func() float64 {
-		return n.view.oldestNaming(time.Now()).Seconds()
+		return n.view.oldestPendingRollout(time.Now()).Seconds()
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_leaving_unlisted_targets", "Targets that say in answers that they leave and are not listed as draining.", func() float64 {
 		return float64(n.view.fleet.UnlistedShutdowns())
@@ -199,19 +201,19 @@
 	})
 }
 
-// newInstanceName returns the name of one start of a node.
+// newInstanceName returns a name that is unique to one start of a node.
 func newInstanceName(node string) string {
 	return node + "/" + uuid.NewString()
 }
 
-// isInstanceName reports whether a text is the name of a node's start.
+// isInstanceName reports whether text has the form of newInstanceName's result.
 func isInstanceName(text string) bool {
 	at := strings.LastIndexByte(text, '/')
 	return at > 0 && uuid.Validate(text[at+1:]) == nil
 }
 
-// Start opens the node's doors and begins its duties. Requests that come before
-// the first configuration are refused with the time to come back.
+// Start opens the node's listeners and starts its background work. Requests that arrive before
+// the first configuration are refused with a Retry-After.
 func (n *Node) Start() error {
 	if err := n.exchange.listen(n.exchangeAddress()); err != nil {
 		return err
@@ -220,10 +222,10 @@
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	duties, endDuties := context.WithCancel(ctx)
-	n.cancel, n.cancelDuties = cancel, endDuties
+	duties, cancelDuties := context.WithCancel(ctx)
+	n.cancel, n.cancelDuties = cancel, cancelDuties
 	go n.view.follower.Run(ctx)
-	go n.events.Run(ctx)
+	go n.cacheWatcher.Run(ctx)
 	go n.exchange.run(ctx)
 	go n.logEngineStats(ctx)
 	go n.logLimits(ctx)
@@ -237,8 +239,8 @@
 	return nil
 }
 
-// openListeners opens the front last, when nothing else can fail: clients that came
-// before would lose their connections, and what they sent, with the process.
+// openListeners opens the client listener last, when nothing else can fail: otherwise clients
+// could connect and send requests to a process that is about to exit.
 func (n *Node) openListeners() error {
 	watch := door.Watch{
 		Log:        n.log,
@@ -257,11 +259,10 @@
 	return err
 }
 
-// FrontAddress and ReadyAddress return where the started node serves clients
-// and the platform's question whether it is ready.
+// FrontAddress returns the address at which the started node serves clients.
 func (n *Node) FrontAddress() string { return n.listeners.front.Address() }
 
-// ReadyAddress returns where the platform asks whether the node is ready.
+// ReadyAddress returns the address of the readiness probe.
 func (n *Node) ReadyAddress() string { return n.listeners.ready.Address() }
 
 func (n *Node) metricsAddress() string {
@@ -275,7 +276,7 @@
 	return mux
 }
 
-// serveReady answers whether new connections are to come here.
+// serveReady answers the readiness probe: whether new connections may be sent to this node.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case <-n.stopping:
@@ -288,17 +289,17 @@
 	}
 }
 
-// onNewLease puts the node among the members under a new lease.
+// onNewLease registers the node under a new lease and tries to become leader.
 func (n *Node) onNewLease(ctx context.Context, id store.LeaseID) {
 	if err := n.register(ctx, id); err != nil {
-		n.log.WithError(err).WithField("event", "enrol_failed").Warn("the others count this node out until its next lease")
+		n.log.WithError(err).WithField("event", "enrol_failed").Warn("could not register among the members; the other nodes ignore this node until its next lease")
 	}
 	if n.isCandidate() {
 		n.view.leaderLock.TryAcquire(ctx)
 	}
 }
 
-// register writes the node's entry among the members, unless it is leaving.
+// register writes the node's entry among the members, unless the node is leaving.
 func (n *Node) register(ctx context.Context, id store.LeaseID) error {
 	n.membership.Lock()
 	defer n.membership.Unlock()
@@ -312,10 +313,10 @@
 	return err
 }
 
-// electionInterval is how often a free seat is looked for.
+// electionInterval is how often the node checks whether the leader lock is free.
 const electionInterval = 200 * time.Millisecond
 
-// runElection takes the seat once it is free.
+// runElection acquires the leader lock once it is free.
 func (n *Node) runElection(ctx context.Context) {
 	ticker := time.NewTicker(electionInterval)
 	defer ticker.Stop()
@@ -334,8 +335,8 @@
 	}
 }
 
-// Bounds of the listeners. They outlast the limits that the configuration sets
-// on clients, which may change while connections are open.
+// Limits of the HTTP servers. They are wider than the client limits of the configuration,
+// which may change while connections are open.
 const (
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 60 * time.Second
--- a/node/notices.go
+++ b/node/notices.go
@@ -12,10 +12,10 @@
 	"acaciakeel/telemetry"
 )
 
-// limitUseInterval is how often it is logged what goes to targets with limits.
+// limitUseInterval is how often the calls of targets with limits are logged.
 const limitUseInterval = time.Second
 
-// targetLimitMetrics are the counters of what goes to targets with limits.
+// targetLimitMetrics are the metrics of calls to targets that name limits.
 type targetLimitMetrics struct {
 	limited prometheus.Gauge
 	sent    *prometheus.CounterVec
@@ -28,7 +28,7 @@
 	}
 }
 
-// logTargetLimits logs what this entry sends to targets with limits.
+// logTargetLimits logs the calls of this node to targets that name limits.
 func (n *Node) logTargetLimits(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, limitUseInterval)
@@ -39,19 +39,19 @@
 			n.targetLimits.sent.WithLabelValues("reading").Add(float64(u.CacheReads))
 			n.log.WithFields(logrus.Fields{
 				"event": "target_limit_use", "target": u.Target.ID, "born": u.Target.Born, "limit": u.Rate, "requests": u.Requests, "readings": u.CacheReads,
-			}).Info("sent in the last second to a target that names a limit")
+			}).Info("calls in the last second of a target that names a limit")
 		}
 	}
 }
 
-// logTargetReports logs what another entry's news changed of targets' words on themselves.
-func (p *peerExchange) logTargetReports(heard fleet.MergeResult, from string) {
-	for _, c := range heard.Limits {
+// logTargetUpdates logs limits and departures of targets that were learnt from another node.
+func (p *peerExchange) logTargetUpdates(merged fleet.MergeResult, from string) {
+	for _, c := range merged.Limits {
 		p.log.WithFields(logrus.Fields{
 			"event": "target_limit", "from": from, "target": c.Target.ID, "born": c.Target.Born, "named": c.New.Declared, "limit": c.New.Rate, "former": c.Old.Rate,
-		}).Info("another entry tells of a target's limit")
+		}).Info("another node reports a target's limit")
 	}
-	for _, l := range heard.ShuttingDown {
-		p.log.WithFields(logrus.Fields{"event": "target_leaves", "from": from, "target": l.ID, "born": l.Born}).Info("another entry tells that the target leaves")
+	for _, l := range merged.ShuttingDown {
+		p.log.WithFields(logrus.Fields{"event": "target_leaves", "from": from, "target": l.ID, "born": l.Born}).Info("another node reports that the target leaves")
 	}
 }
--- a/node/notices_test.go
+++ b/node/notices_test.go
@@ -12,15 +12,15 @@
 	"acaciakeel/internal/standin/runner"
 )
 
-// pressed is how a node's clients press it: each sends its next request after a pause.
-type pressed struct {
+// loadSpec is the load that clients put on a node: each sends its next request after a pause.
+type loadSpec struct {
 	node    *Node
 	clients int
 	pause   time.Duration
 }
 
-// press has clients send for a while. A request's id begins with its node's name.
-func (w *world) press(path string, length time.Duration, all ...pressed) {
+// generateLoad has clients send for a while. A request's id begins with its node's name.
+func (w *testEnv) generateLoad(path string, length time.Duration, all ...loadSpec) {
 	var done sync.WaitGroup
 	end := time.Now().Add(length)
 	for _, p := range all {
@@ -30,7 +30,7 @@
 				defer done.Done()
 				for i := 0; time.Now().Before(end); i++ {
 					id := fmt.Sprintf("%s,%d,%d", p.node.settings.Name, c, i)
-					header := prompt()
+					header := promptHeaders()
 					header["Prefix-Hash"] = fmt.Sprintf("aa:400,b%d:300,c%d-%d:200", i%7, c, i)
 					w.sendTo(p.node, "POST", path, "", id, header)
 					time.Sleep(p.pause)
@@ -41,59 +41,58 @@
 	done.Wait()
 }
 
-// senderOf returns the node that a pressed request went to.
-func senderOf(id string, _ time.Time) string {
+// nodeOfRequest returns the node that a generated request was sent to.
+func nodeOfRequest(id string, _ time.Time) string {
 	node, _, _ := strings.Cut(id, ",")
 	return node
 }
 
-// stableWindow is how long after it was named a target's limit binds.
+// stableWindow is how long after it was named a target's limit is binding.
 const stableWindow = 3 * time.Second
 
-// Guards against a target that gets more than the limit that it named from the entries
-// together, each of which was told.
-func TestEntriesTogetherKeepATargetsLimit(t *testing.T) {
-	w := newWorld(t)
-	all := []pressed{{w.node, 2, 50 * time.Millisecond}, {w.startNode("n1"), 2, 50 * time.Millisecond}, {w.startNode("n2"), 2, 50 * time.Millisecond}}
+// Guards against nodes that each keep a target's limit but exceed it together.
+func TestNodesTogetherKeepATargetsLimit(t *testing.T) {
+	w := newEnv(t)
+	all := []loadSpec{{w.node, 2, 50 * time.Millisecond}, {w.startNode("n1"), 2, 50 * time.Millisecond}, {w.startNode("n2"), 2, 50 * time.Millisecond}}
 	limited := w.runners[0]
 	limited.NameLimit("1.4", 1.4)
-	w.press("/draft/x", stableWindow+6*time.Second, all...)
-	for _, broken := range limited.OverLimit(senderOf, stableWindow) {
+	w.generateLoad("/draft/x", stableWindow+6*time.Second, all...)
+	for _, broken := range limited.OverLimit(nodeOfRequest, stableWindow) {
 		t.Fatal(broken)
 	}
 }
 
-// Guards against a service that is refused though its targets would take some, and
-// against refusals without the time to come back: all targets name a limit.
-func TestAServiceAtItsLimitIsGivenIt(t *testing.T) {
-	w := newWorld(t)
+// Guards against requests that are refused while a target with a limit could take them, and
+// against refusals without a Retry-After.
+func TestServiceIsUsedUpToItsLimit(t *testing.T) {
+	w := newEnv(t)
 	for _, r := range w.runners {
 		r.NameLimit("1", 1)
 	}
 	for range 3 {
-		w.send("POST", "/draft/x", "", prompt())
+		w.send("POST", "/draft/x", "", promptHeaders())
 	}
-	refused := answer{}
+	refused := response{}
 	w.until("a request is refused", func() bool {
-		refused = w.send("POST", "/draft/x", "", prompt())
+		refused = w.send("POST", "/draft/x", "", promptHeaders())
 		return refused.status != http.StatusOK
 	})
 	after, _ := strconv.ParseFloat(refused.header.Get("Retry-After"), 64)
 	if refused.status != http.StatusTooManyRequests || !strings.Contains(refused.body, "targets_limited") || after <= 0 {
-		t.Errorf("refused with %d, come back after %v s: %s", refused.status, after, refused.body)
+		t.Errorf("refused with %d, Retry-After %v s: %s", refused.status, after, refused.body)
 	}
-	w.until("a later request is served", func() bool { return w.send("POST", "/draft/x", "", prompt()).status == http.StatusOK })
+	w.until("a later request is served", func() bool { return w.send("POST", "/draft/x", "", promptHeaders()).status == http.StatusOK })
 }
 
-// Guards against a target that is kept limited though it says so no longer.
-func TestALimitEndsWithTheWord(t *testing.T) {
-	w := newWorld(t)
+// Guards against a limit that stays in force after the target has stopped naming it.
+func TestTargetLimitEndsWhenNoLongerNamed(t *testing.T) {
+	w := newEnv(t)
 	other := w.startNode("n1")
 	sent := 0
 	known := func(n *Node, named bool) func() bool {
 		return func() bool {
 			sent++
-			header := prompt()
+			header := promptHeaders()
 			header["Prefix-Hash"] = fmt.Sprintf("a%d:400,b%d:300,c%d:200", sent, sent, sent)
 			w.send("POST", "/draft/x", "", header)
 			for _, r := range n.view.fleet.Targets("lm") {
@@ -110,25 +109,25 @@
 		}
 	}
 	name("2", 2)
-	w.until("the entry knows the limit", known(w.node, true))
-	w.until("the other one has heard of it", known(other, true))
+	w.until("the node knows the limit", known(w.node, true))
+	w.until("the other node knows of it", known(other, true))
 	name("", 0)
-	w.until("the entry knows that it is over", known(w.node, false))
-	w.until("the other one has heard of it", known(other, false))
+	w.until("the node knows that the limit ended", known(w.node, false))
+	w.until("the other node knows of it", known(other, false))
 }
 
-// drain is how long after it was told so an entry may go on sending to a target that leaves.
-const drain = 2 * time.Second
+// drainPeriod is how long after a target reported that it leaves a node may still send to it.
+const drainPeriod = 2 * time.Second
 
-// Guards against requests to a target that said in an answer that it leaves while the
-// list calls it ready, also once it is listed anew.
-func TestATargetThatSaysItLeavesGetsNothing(t *testing.T) {
-	w := newWorld(t)
+// Guards against requests to a target that reported in an answer that it leaves while its
+// entry says ready, also after the entry is written again.
+func TestTargetReportingThatItLeavesGetsNothing(t *testing.T) {
+	w := newEnv(t)
 	leaves := w.runners[0]
 	relist := func() {
 		entry := leaves.Entry("ready")
 		for range 5 {
-			time.Sleep(drain / 2)
+			time.Sleep(drainPeriod / 2)
 			w.store.Remove(entry.Key)
 			time.Sleep(100 * time.Millisecond)
 			w.store.Set(entry.Key, entry.Value)
@@ -136,32 +135,32 @@
 	}
 	leaves.Leave()
 	go relist()
-	w.press("/draft/x", drain+3*time.Second, pressed{w.node, 3, 50 * time.Millisecond}, pressed{w.startNode("n1"), 3, 50 * time.Millisecond})
-	for _, broken := range leaves.AfterLeaving(senderOf, drain) {
+	w.generateLoad("/draft/x", drainPeriod+3*time.Second, loadSpec{w.node, 3, 50 * time.Millisecond}, loadSpec{w.startNode("n1"), 3, 50 * time.Millisecond})
+	for _, broken := range leaves.AfterLeaving(nodeOfRequest, drainPeriod) {
 		t.Fatal(broken)
 	}
 }
 
-// Guards against requests to a target within the rest that it asked for, as it turned
-// others away: of runners and of plain services, and where all of them rest.
-func TestATargetIsLeftAloneForTheRestItAsksFor(t *testing.T) {
+// Guards against requests to a target within the back-off it asked for when it refused others:
+// for runners and plain services, and when all of them back off.
+func TestTargetGetsNothingDuringRetryAfter(t *testing.T) {
 	for name, c := range map[string]struct {
 		path string
-		shed func(w *world) []*runner.Runner
+		shed func(w *testEnv) []*runner.Runner
 	}{
-		"one of two runners":       {"/draft/x", func(w *world) []*runner.Runner { return w.runners[:1] }},
-		"one of two plain targets": {"/stock/x", func(w *world) []*runner.Runner { return w.desks[:1] }},
-		"all runners":              {"/draft/x", func(w *world) []*runner.Runner { return w.runners }},
+		"one of two runners":       {"/draft/x", func(w *testEnv) []*runner.Runner { return w.runners[:1] }},
+		"one of two plain targets": {"/stock/x", func(w *testEnv) []*runner.Runner { return w.plainTargets[:1] }},
+		"all runners":              {"/draft/x", func(w *testEnv) []*runner.Runner { return w.runners }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newEnv(t)
 			resting := c.shed(w)
 			for _, r := range resting {
 				r.ShedFor(3 * time.Second)
 			}
-			w.press(c.path, 7*time.Second, pressed{w.node, 4, 30 * time.Millisecond}, pressed{w.startNode("n1"), 2, 30 * time.Millisecond})
+			w.generateLoad(c.path, 7*time.Second, loadSpec{w.node, 4, 30 * time.Millisecond}, loadSpec{w.startNode("n1"), 2, 30 * time.Millisecond})
 			for _, r := range resting {
-				for _, broken := range r.WithinRest(senderOf) {
+				for _, broken := range r.WithinRest(nodeOfRequest) {
 					t.Fatal(broken)
 				}
 			}
--- a/node/poison_test.go
+++ b/node/poison_test.go
@@ -21,22 +21,22 @@
 	"acaciakeel/verdicts"
 )
 
-// deadlyWord is what ends a runner that runs a request with it for deadlyAfter, and
-// deadlyDown how long that is gone. endsMost is how many such a request may end: before
-// the third it may have been chance.
+// crashTrigger is the body that crashes a runner crashDelay after the run began; the runner is
+// then down for crashDowntime. maxCrashes is how many runners one such request may crash: up
+// to the third it may be chance.
 const (
-	deadlyWord  = "divide by this"
-	deadlyAfter = 0
-	deadlyDown  = 300 * time.Millisecond
-	endsMost    = 3
+	crashTrigger  = "divide by this"
+	crashDelay    = 0
+	crashDowntime = 300 * time.Millisecond
+	maxCrashes    = 3
 )
 
-// newDeadlyWorld returns a world with more runners, all of which end on the word.
-func newDeadlyWorld(t *testing.T, runners int) *world {
+// newCrashEnv returns an environment with more runners, all of which crash on the trigger.
+func newCrashEnv(t *testing.T, runners int) *testEnv {
 	t.Helper()
 	log, lines := logtest.NewNullLogger()
-	w := newWorldWith(t, log)
-	t.Cleanup(func() { tellEnds(t, lines.AllEntries()) })
+	w := newEnvWith(t, log)
+	t.Cleanup(func() { logCrashes(t, lines.AllEntries()) })
 	for i := len(w.runners); i < runners; i++ {
 		r := runner.Start(fmt.Sprintf("r%d", i), "lm", map[string]int64{model: 1})
 		w.runners = append(w.runners, r)
@@ -44,7 +44,7 @@
 		t.Cleanup(r.Close)
 	}
 	for _, r := range w.runners {
-		r.EndOn(deadlyWord, deadlyAfter, deadlyDown)
+		r.EndOn(crashTrigger, crashDelay, crashDowntime)
 		r.SetPace(5 * time.Millisecond)
 	}
 	stop := make(chan struct{})
@@ -54,9 +54,9 @@
 	return w
 }
 
-// tellEnds prints what the nodes logged of ends, where a test failed: which was seen,
-// by whom it was told, and when.
-func tellEnds(t *testing.T, lines []*logrus.Entry) {
+// logCrashes prints what the nodes logged of crashes if the test failed: which were seen, who
+// reported them, and when.
+func logCrashes(t *testing.T, lines []*logrus.Entry) {
 	if !t.Failed() {
 		return
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-func (w *world) crashes() int {
+func (w *testEnv) crashes() int {
 	n := 0
 	for _, r := range w.runners {
 		n += r.Crashes()
@@ -76,35 +76,30 @@
 	return n
 }
 
-// repeat sends the request that ends runners again and again, each time under another
-// id and at the next of the nodes, and returns the last answer.
-func (w *world) repeat(path string, times int, nodes ...*Node) answer {
-	var last answer
+// repeat sends the crashing request repeatedly, each time under another id and to the next of
+// the nodes, and returns the last answer.
+func (w *testEnv) repeat(path string, times int, nodes ...*Node) response {
+	var last response
 	for i := range times {
-		last = w.sendTo(nodes[i%len(nodes)], "POST", path, deadlyWord, fmt.Sprintf("%s-%d", path, i), prompt())
+		last = w.sendTo(nodes[i%len(nodes)], "POST", path, crashTrigger, fmt.Sprintf("%s-%d", path, i), promptHeaders())
 		if said := strings.Contains(last.body, "was not run"); said != strings.Contains(last.body, `"not_run"`) {
-			w.t.Errorf("request %d is told whether it ran in two ways: %s", i, last.body)
+			w.t.Errorf("request %d got contradictory statements on whether it ran: %s", i, last.body)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 	return last
 }
 
-// Users saw nineteen runners end one after the other, and with each the requests of
-// others: one request ended whoever ran it, its client sent it again under another id,
-// and the entry began to count anew. Cause: what bounded sends counted them by id and by
-// process, while the harm comes with the content; of twelve ends that the logs of a day
-// showed, all had the same content and eleven were the first send of their id. It has to
-// end three at most, whatever the id and the entry; then it is refused, with the truth
-// that this one was not run and when to come back.
-func TestRequestThatEndsRunnersIsStopped(t *testing.T) {
+// Guards against a request that crashes one runner after the other, nineteen in one case:
+// crashes were counted by request id and process, but its client retries under new ids.
+func TestCrashingRequestIsRefused(t *testing.T) {
 	for _, path := range []string{"/match/deadly", "/draft/deadly"} {
 		t.Run(strings.Trim(path, "/"), func(t *testing.T) {
-			w := newDeadlyWorld(t, 6)
+			w := newCrashEnv(t, 6)
 			nodes := []*Node{w.node, w.startNode("n1")}
 			last := w.repeat(path, 12, nodes...)
-			if n := w.crashes(); n > endsMost {
-				t.Errorf("%d runners ended under one request", n)
+			if n := w.crashes(); n > maxCrashes {
+				t.Errorf("%d runners crashed under one request", n)
 			}
 			if last.status != http.StatusServiceUnavailable || last.header.Get("Retry-After") == "" || !strings.Contains(last.body, "not_run") {
 				t.Errorf("the last answer is %d, Retry-After %q: %s", last.status, last.header.Get("Retry-After"), last.body)
@@ -113,17 +108,16 @@
 	}
 }
 
-// A request that ends runners comes while others are served. Those that were on the same
-// runners are repeated by their clients and must be served then: to be there when a
-// runner ended is no proof against them.
-func TestOthersAreServedBesideOneThatEndsRunners(t *testing.T) {
-	w := newDeadlyWorld(t, 6)
+// Guards against other requests that are taken for the cause because they ran on the same
+// runners as a crashing one: their retries must be served.
+func TestOtherRequestsAreServedBesideACrashingOne(t *testing.T) {
+	w := newCrashEnv(t, 6)
 	var wg sync.WaitGroup
 	for i := range 12 {
 		wg.Go(func() {
 			body := fmt.Sprintf("other %d", i)
 			for round := range 12 {
-				a := w.sendTo(w.node, "POST", "/match/other", body, fmt.Sprintf("other-%d-%d", i, round), prompt())
+				a := w.sendTo(w.node, "POST", "/match/other", body, fmt.Sprintf("other-%d-%d", i, round), promptHeaders())
 				if a.status == http.StatusOK && a.err == nil {
 					return
 				}
@@ -136,8 +130,8 @@
 	wg.Wait()
 }
 
-// setFaults sets what goes wrong with the store.
-func (w *world) setFaults(faults string) {
+// setFaults sets the faults of the store.
+func (w *testEnv) setFaults(faults string) {
 	w.t.Helper()
 	resp, err := http.Post(w.kv.URL+"/faults", "application/json", strings.NewReader(faults))
 	if err != nil {
@@ -146,61 +140,60 @@
 	resp.Body.Close()
 }
 
-// refuses reports whether a node answers the request that ends runners with the refusal
-// of its content.
-func (w *world) refuses(n *Node) bool {
-	ids++
-	a := w.sendTo(n, "POST", "/match/deadly", deadlyWord, fmt.Sprintf("id-%d", ids), prompt())
+// refuses reports whether a node refuses the crashing request because of its content.
+func (w *testEnv) refuses(n *Node) bool {
+	lastID++
+	a := w.sendTo(n, "POST", "/match/deadly", crashTrigger, fmt.Sprintf("id-%d", lastID), promptHeaders())
 	return a.status == http.StatusServiceUnavailable && strings.Contains(a.body, "ends_targets")
 }
 
-// kept reports whether the store has a verdict.
-func (w *world) kept() bool {
+// hasVerdict reports whether the store contains a verdict.
+func (w *testEnv) hasVerdict() bool {
 	listing, err := platform.NewStore(w.kv.URL).List(w.t.Context(), platform.VerdictPrefix)
 	return err == nil && len(listing.Entries) > 0
 }
 
-// All entries are killed together after a request ended three runners. Those that start
-// know nothing but what the store has; without it the same request would end three more.
-func TestEntriesThatStartRefuseWhatTheStoreHas(t *testing.T) {
-	w := newDeadlyWorld(t, 6)
+// Guards against crashes that start again after all nodes were killed: a starting node must
+// apply the verdicts in the store.
+func TestNewNodeRefusesContentsWithStoredVerdict(t *testing.T) {
+	w := newCrashEnv(t, 6)
 	w.repeat("/match/deadly", 8, w.node)
-	w.until("the verdict is in the store", w.kept)
+	w.until("the verdict is in the store", w.hasVerdict)
 	w.node.cancel()
 	fresh := w.startNode("n1")
 	before := w.crashes()
 	if !w.refuses(fresh) || w.crashes() != before {
-		t.Errorf("an entry that has just started ran it: %d runners ended, %d before its start", w.crashes(), before)
+		t.Errorf("a node that has just started ran it: %d runners crashed, %d before its start", w.crashes(), before)
 	}
 }
 
-// The store is away while a request ends its runners, and the entries tell each other
-// nothing. Each stops it by itself; once the store is back, it has the verdict.
+// Guards against a crashing request that is not stopped during an outage of the store, and a
+// verdict that is not stored afterwards.
 func TestVerdictHoldsWithoutTheStore(t *testing.T) {
-	w := newDeadlyWorld(t, 8)
+	w := newCrashEnv(t, 8)
 	w.setFaults(`{"down":true}`)
 	last := w.repeat("/match/deadly", 6, w.node)
-	if n := w.crashes(); n > endsMost || last.status != http.StatusServiceUnavailable {
-		t.Errorf("%d runners ended, the last answer is %d", n, last.status)
+	if n := w.crashes(); n > maxCrashes || last.status != http.StatusServiceUnavailable {
+		t.Errorf("%d runners crashed, the last answer is %d", n, last.status)
 	}
 	w.setFaults(`{}`)
-	w.until("the verdict is in the store", w.kept)
+	w.until("the verdict is in the store", w.hasVerdict)
 }
 
-// An operator finds that a content was refused which is sound by now, and lifts the
-// verdict. All entries serve it again.
+// Guards against a content that stays refused on some node after an operator has lifted its
+// verdict.
 func TestLiftedContentIsServed(t *testing.T) {
-	w := newDeadlyWorld(t, 6)
+	w := newCrashEnv(t, 6)
 	w.repeat("/match/deadly", 8, w.node)
-	w.until("the verdict is in the store", w.kept)
+	w.until("the verdict is in the store", w.hasVerdict)
 	for _, r := range w.runners {
 		r.EndOn("", 0, 0)
 	}
 	if !w.refuses(w.node) {
-		t.Error("it is served before anybody lifts it")
+		t.Error("it is served before the verdict is lifted")
 	}
 	var out bytes.Buffer
-	content := poison.Content{Method: "POST", Host: "h.example", URI: "/match/deadly", Customer: "c1", Body: []byte(deadlyWord)}.Fingerprint()
+	content := poison.Content{Method: "POST", Host: "h.example", URI: "/match/deadly", Customer: "c1", Body: []byte(crashTrigger)}.Fingerprint()
 	address := strings.TrimPrefix(w.kv.URL, "http://")
 	for _, args := range [][]string{{"keelctl", "verdicts", "--store", address}, {"keelctl", "lift", "--store", address, content.String()}} {
 		if err := ctl.Command(&out).Run(t.Context(), args); err != nil {
@@ -211,15 +204,15 @@
 		t.Errorf("keelctl says %q", text)
 	}
 	w.until("it is served", func() bool {
-		a := w.send("POST", "/match/deadly", deadlyWord, prompt())
-		return a.status == http.StatusOK && a.body == whole()
+		a := w.send("POST", "/match/deadly", crashTrigger, promptHeaders())
+		return a.status == http.StatusOK && a.body == completeStream()
 	})
 }
 
-// A verdict that another writer wrote, or that can't be read, refuses nothing and is
-// left out with a word in the log.
-func TestForeignVerdictRefusesNothing(t *testing.T) {
-	w := newDeadlyWorld(t, 2)
+// Guards against a verdict that another writer wrote, or that can't be read, taking effect: it
+// must be left out and logged.
+func TestInvalidVerdictIsSkipped(t *testing.T) {
+	w := newCrashEnv(t, 2)
 	content := poison.Content{Method: "POST", Host: "h.example", URI: "/match/sound", Customer: "c1", Body: []byte("sound")}.Fingerprint()
 	w.store.Set(platform.VerdictPrefix+content.String(), []byte(`{"until_unix_ms":99999999999999,"ended":[]}`))
 	w.store.Set(platform.VerdictPrefix+"zz", []byte(`{}`))
@@ -229,15 +222,15 @@
 		defer w.node.view.skipped.mu.Unlock()
 		return len(w.node.view.skipped.loggedRevisions) >= 2
 	})
-	if a := w.send("POST", "/match/sound", "sound", prompt()); a.status != http.StatusOK {
+	if a := w.send("POST", "/match/sound", "sound", promptHeaders()); a.status != http.StatusOK {
 		t.Errorf("answered %d: %s", a.status, a.body)
 	}
 }
 
-// A request brings whole machines down: connections go silent, nothing refuses one, and
-// the list loses the runner seconds later. That is all there is to see, and it counts.
-func TestSilentEndsCountOnceTheListLosesThem(t *testing.T) {
-	w := newDeadlyWorld(t, 2)
+// Guards against crashes that are not counted because the whole machine goes silent: the only
+// signs are the broken responses and the entry that is removed seconds later.
+func TestSilentCrashCountsWhenEntryIsRemoved(t *testing.T) {
+	w := newCrashEnv(t, 2)
 	table := w.node.view.verdicts.Table
 	c := poison.Case{Content: poison.Content{URI: "/silent"}.Fingerprint(), Service: "lm"}
 	now := time.Now()
@@ -250,15 +243,15 @@
 			w.node.view.removeUnlisted(r.ID)
 		}
 		if ends := table.Evaluate(c.Content, time.Now()).Crashes; ends != i+1 {
-			t.Errorf("%d ends count after %d silent and %d planned ones", ends, i+1, i+1)
+			t.Errorf("%d crashes counted after %d silent and %d planned ends", ends, i+1, i+1)
 		}
 	}
 }
 
-// An entry hears nothing of the others, but reaches the store and the runners. What the
-// others saw reaches it by the store, before it has seen anything itself.
+// Guards against a node that gets no datagrams and runs a content that the others refuse: it
+// must apply the verdict in the store before it sees a crash.
 func TestEntryThatHearsNobodyLearnsFromTheStore(t *testing.T) {
-	w := newDeadlyWorld(t, 6)
+	w := newCrashEnv(t, 6)
 	deaf := w.startNode("n1")
 	w.store.Set(deaf.view.self, encodeMember("127.0.0.1:9", "z1"))
 	w.store.Set(w.node.view.self, encodeMember("127.0.0.1:9", "z1"))
@@ -266,38 +259,36 @@
 		plan := n.view.plan()
 		return len(plan.Peers) == 1 && plan.Peers[0].Address == "127.0.0.1:9"
 	}
-	w.until("each sends its words nowhere", func() bool { return nowhere(w.node) && nowhere(deaf) })
+	w.until("neither node's datagrams arrive", func() bool { return nowhere(w.node) && nowhere(deaf) })
 	w.repeat("/match/deadly", 8, w.node)
-	content := poison.Content{Method: "POST", Host: "h.example", URI: "/match/deadly", Customer: "c1", Body: []byte(deadlyWord)}.Fingerprint()
+	content := poison.Content{Method: "POST", Host: "h.example", URI: "/match/deadly", Customer: "c1", Body: []byte(crashTrigger)}.Fingerprint()
 	w.until("it knows the verdict", func() bool {
 		return deaf.view.verdicts.Table.Evaluate(content, time.Now()).Status == poison.Refused
 	})
 	before := w.crashes()
 	if !w.refuses(deaf) || w.crashes() != before {
-		t.Errorf("it ran the request: %d runners ended, %d before", w.crashes(), before)
+		t.Errorf("it ran the request: %d runners crashed, %d before", w.crashes(), before)
 	}
 }
 
-// The store loses the verdict. Entries that run go on refusing and write it anew, so that
-// those which start know of it.
+// Guards against a verdict that is lost with the store's data: nodes must keep refusing the
+// content and write the verdict again.
 func TestLostVerdictIsBackInTheStore(t *testing.T) {
-	w := newDeadlyWorld(t, 6)
+	w := newCrashEnv(t, 6)
 	w.repeat("/match/deadly", 8, w.node)
-	w.until("the verdict is in the store", w.kept)
-	content := poison.Content{Method: "POST", Host: "h.example", URI: "/match/deadly", Customer: "c1", Body: []byte(deadlyWord)}.Fingerprint()
+	w.until("the verdict is in the store", w.hasVerdict)
+	content := poison.Content{Method: "POST", Host: "h.example", URI: "/match/deadly", Customer: "c1", Body: []byte(crashTrigger)}.Fingerprint()
 	w.store.Remove(verdicts.Key(content))
 	if !w.refuses(w.node) {
-		t.Error("the loss lifts the verdict")
+		t.Error("the verdict ended with its entry in the store")
 	}
-	w.until("the verdict is in the store again", w.kept)
+	w.until("the verdict is in the store again", w.hasVerdict)
 }
 
-// A runner ends under a request and another one is at its address at once, so that no
-// connection is refused. The next that goes there, a request or a reading of its cache
-// events, is told so (421), and that is a sign of the end as good as any. Where the reading
-// came first, the runner passed for one that is silent, and no request went there again.
-func TestAnotherRunnerAtTheAddressIsASignOfTheEnd(t *testing.T) {
-	w := newDeadlyWorld(t, 2)
+// Guards against a crash that is missed because another runner took over the address and
+// answers 421: if a read of cache events met it first, the runner passed for a silent one.
+func TestOtherRunnerAtAddressCountsAsCrash(t *testing.T) {
+	w := newCrashEnv(t, 2)
 	table := w.node.view.verdicts.Table
 	c := poison.Case{Content: poison.Content{URI: "/replaced"}.Fingerprint(), Service: "lm"}
 	former := runner.Start("gone", "lm", map[string]int64{model: 1})
@@ -306,10 +297,10 @@
 	gone := fleet.Instance{ID: "gone"}
 	table.RecordBrokenResponse(c, gone, time.Now(), time.Now())
 	w.store.Set(entry.Key, entry.Value)
-	w.until("somebody meets the other runner", func() bool {
-		ids++
-		header := prompt()
-		header["Prefix-Hash"] = fmt.Sprintf("a%d:400,b%d:300,c%d:200", ids, ids, ids)
+	w.until("a request or read reaches the other runner", func() bool {
+		lastID++
+		header := promptHeaders()
+		header["Prefix-Hash"] = fmt.Sprintf("a%d:400,b%d:300,c%d:200", lastID, lastID, lastID)
 		w.send("POST", "/draft/x", "", header)
 		return table.Evaluate(c.Content, time.Now()).Crashes == 1
 	})
--- a/node/pulse.go
+++ b/node/pulse.go
@@ -24,12 +24,12 @@
 	"acaciakeel/pulses"
 )
 
-// peerExchange tells the other nodes, many times a second and by datagrams, what this
-// one sends where and what it learnt, and takes what they tell. A choice is as
-// good as what it knows of the prompts that wait at each target, which changes
-// within tens of milliseconds; a call by HTTP each time costs a small machine
-// ten times as much. Nothing rests on a peerExchange: a lost one leaves the one before
-// it in force, and without any each node goes by what it sees itself.
+// peerExchange sends this node's state to the other nodes in UDP datagrams many times a
+// second, and receives theirs: the load it placed on each target and what it observed of them.
+// The choice of a target depends on the prompts queued at each one, which change within tens
+// of milliseconds; an HTTP call each time would cost a small machine ten times as much.
+// Datagrams may be lost: the state received before then stays in force, and a node that
+// receives nothing relies on its own observations.
 type peerExchange struct {
 	name  string
 	fleet *fleet.Fleet
@@ -38,20 +38,20 @@
 	log   logrus.FieldLogger
 	wake  chan struct{}
 	conn  *net.UDPConn
-	// write sends a datagram; one that can't be sent is like one that is lost.
+	// write sends a datagram; a failed send is treated like a lost datagram.
 	write func(datagram []byte, to netip.AddrPort)
-	// enginesSentAt is when what was observed of engines was told last.
+	// enginesSentAt is when engine reports were last sent.
 	enginesSentAt time.Time
 	relay         groupRelay
-	// contacts are the processes of the group and when each was heard last; receive alone
-	// uses it.
+	// contacts are the processes heard from recently, by name; used by receive only.
 	contacts map[string]peerContact
 	watch    watchShare
-	// knownExtra are those told aside at the last pulse; only the goroutine that sends uses
-	// it.
+	// knownExtra are the keys of the extra recipients of the last update; used by the sending
+	// goroutine only.
 	knownExtra map[string]bool
-	// sendNamingsUntil is until when namings of weights are told, by the clock's nanoseconds.
-	sendNamingsUntil atomic.Int64
+	// sendDesiredUntil is the time until which updates include the desired weight versions, in
+	// nanoseconds of package clock.
+	sendDesiredUntil atomic.Int64
 }
 
 func newPeerExchange(name string, f *fleet.Fleet, t *poison.Table, v *view, log logrus.FieldLogger) *peerExchange {
@@ -60,29 +60,31 @@
 	return p
 }
 
-// Figures of the pulse.
+// Timing and size of updates.
 const (
-	// minUpdateInterval is the pause between two pulses, and pulsePerPeer stretches it
-	// where there are many: a node then sends and gets about 200 datagrams a
-	// second, 60 to 100 KB/s, however many there are.
+	// minUpdateInterval is the pause between two updates; intervalPerPeer lengthens it for
+	// many peers. A node then sends and receives about 200 datagrams a second, 60 to 100 KB/s,
+	// whatever the number of peers.
 	minUpdateInterval = 50 * time.Millisecond
 	intervalPerPeer   = 5 * time.Millisecond
-	// intervalPerPeerGrouped takes its place where there are other groups: most of the load is
-	// then known by their digests, and the datagrams are better spent on these.
+	// intervalPerPeerGrouped replaces intervalPerPeer when there are other groups: most of the
+	// load is then known from their digests, and the datagrams are better spent on those.
 	intervalPerPeerGrouped = 8 * time.Millisecond
-	// engineInterval is how often what was observed of engines is told: what a
-	// process observed in half a second changes little of what all know.
+	// engineInterval is how often engine reports are sent: what one process observes in half a
+	// second changes little of what all know.
 	engineInterval = 500 * time.Millisecond
-	// updateBatchDelay is how long news that is to go out at once waits for more.
+	// updateBatchDelay is how long an update that was requested at once waits for further
+	// changes.
 	updateBatchDelay = 20 * time.Millisecond
-	// maxLoads is how many targets a pulse names: about as many fit one packet,
-	// at 33 bytes each where all figures are there and ids have 12 letters.
+	// maxLoads is how many targets an update names: about as many as fit in one packet, at 33
+	// bytes each when all figures are present and ids have 12 letters.
 	maxLoads = 44
-	// maxDatagramBytes bounds a datagram that is read: the most that UDP carries.
+	// maxDatagramBytes is the size of the read buffer: the largest UDP payload.
 	maxDatagramBytes = 64 << 10
 )
 
-// updateInterval returns the pause after a pulse that was told to so many beside the peers.
+// updateInterval returns the pause after an update that also went to a number of extra
+// recipients.
 func updateInterval(plan peering.Plan, extra int) time.Duration {
 	perPeer := intervalPerPeer
 	if plan.GroupCount > 1 {
@@ -91,7 +93,7 @@
 	return max(minUpdateInterval, time.Duration(len(plan.Peers)+extra)*perPeer)
 }
 
-// sendSoon makes the next pulse go out at once.
+// sendSoon makes the next update go out without waiting for the interval.
 func (p *peerExchange) sendSoon() {
 	select {
 	case p.wake <- struct{}{}:
@@ -99,11 +101,11 @@
 	}
 }
 
-// listen opens the socket.
+// listen opens the UDP socket.
 func (p *peerExchange) listen(address string) error {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return fmt.Errorf("listen for datagrams: %w; mend ip and port_range of the settings", err)
+		return fmt.Errorf("listen for datagrams: %w; correct ip and port_range in the settings", err)
 	}
 	p.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
 	if err != nil {
@@ -113,12 +115,12 @@
 	return nil
 }
 
-// address returns where the others send to.
+// address returns the address that peers send to.
 func (p *peerExchange) address() string {
 	return p.conn.LocalAddr().String()
 }
 
-// run sends and receives until ctx ends.
+// run sends and receives until ctx is done.
 func (p *peerExchange) run(ctx context.Context) {
 	go p.receive()
 	defer p.conn.Close()
@@ -128,32 +130,32 @@
 		select {
 		case <-time.After(updateInterval(plan, extra)):
 		case <-p.wake:
-			// What comes together goes out together.
+			// Changes that arrive together go out in one update.
 			time.Sleep(updateBatchDelay)
 		case <-ctx.Done():
 		}
 	}
 }
 
-// send tells the peers what there is to tell, and the other groups where it is this
-// node's turn. It returns how many it told aside.
+// send sends the current update to the peers, and digests to other groups where this node is
+// the active relay. It returns the number of extra recipients.
 func (p *peerExchange) send(plan peering.Plan) int {
 	now := time.Now()
 	extra := p.view.extraRecipients(now)
 	p.resendToNewRecipients(extra, now)
-	// News is taken also where nobody is told, or it would pile up.
-	all := p.collectUpdate(now)
-	sent := p.sendExtra(all, extra, plan.Joined)
-	p.relay.addOwn(plan, all)
-	// A confirmation is taken before the changes and told after them: its revision is
-	// one whose changes have been told.
-	all.StoreView = p.storeView()
+	// The update is collected even without peers, or pending changes would accumulate.
+	update := p.collectUpdate(now)
+	sent := p.sendExtra(update, extra, plan.Joined)
+	p.relay.addOwn(plan, update)
+	// The confirmation is taken before the changes and sent after them, so that all changes up
+	// to its revision have already been sent.
+	update.StoreView = p.storeView()
 	changes := p.watch.takeChanges()
 	if len(plan.Peers) > 0 {
 		addresses := addressesOf(plan.Peers)
 		p.sendChanges(changes, addresses)
-		all.SentAt = clock.Now()
-		p.sendUpdate(all, nil, addresses)
+		update.SentAt = clock.Now()
+		p.sendUpdate(update, nil, addresses)
 	}
 	for _, l := range p.relay.dueLinks(plan, time.Now()) {
 		p.sendUpdate(p.groupUpdate(l), l.header(plan), l.addresses)
@@ -161,11 +163,12 @@
 	return sent
 }
 
-// sendUpdate sends news to addresses; group is set where it is that of a whole group.
-func (p *peerExchange) sendUpdate(all pulses.Update, group *keelv1.GroupNews, addresses []string) int {
-	datagrams, err := all.Datagrams(p.name, group)
+// sendUpdate encodes an update and sends it to addresses; group is set if it is the digest of
+// a whole group.
+func (p *peerExchange) sendUpdate(update pulses.Update, group *keelv1.GroupNews, addresses []string) int {
+	datagrams, err := update.Datagrams(p.name, group)
 	if err != nil {
-		p.log.WithError(err).WithField("event", "pulse_failed").Error("the others choose without this node's news")
+		p.log.WithError(err).WithField("event", "pulse_failed").Error("could not encode an update; the other nodes choose targets without this node's state")
 		return 0
 	}
 	size := 0
@@ -180,7 +183,7 @@
 	for _, peer := range addresses {
 		address, err := netip.ParseAddrPort(peer)
 		if err != nil {
-			p.log.WithError(err).WithFields(logrus.Fields{"event": "peer_unread", "peer": peer}).Warn("the address of a member can't be read; it is left out")
+			p.log.WithError(err).WithFields(logrus.Fields{"event": "peer_unread", "peer": peer}).Warn("invalid address of a member; no datagrams are sent to it")
 			continue
 		}
 		p.write(datagram, address)
@@ -195,20 +198,20 @@
 	return out
 }
 
-// collectUpdate takes what there is to tell now.
+// collectUpdate returns what is due to be sent now.
 func (p *peerExchange) collectUpdate(now time.Time) pulses.Update {
-	all := pulses.Update{Loads: p.fleet.LocalOccupancy(maxLoads), Findings: p.fleet.TargetUpdates(now), Caches: p.fleet.CacheUpdates(now), Saves: p.fleet.Saves(), Suspects: p.table.NextReports(now)}
+	update := pulses.Update{Loads: p.fleet.LocalOccupancy(maxLoads), Findings: p.fleet.TargetUpdates(now), Caches: p.fleet.CacheUpdates(now), Saves: p.fleet.Saves(), Suspects: p.table.NextReports(now)}
 	if now.Sub(p.enginesSentAt) >= engineInterval {
-		all.Engines, p.enginesSentAt = p.fleet.EngineReports(now), now
+		update.Engines, p.enginesSentAt = p.fleet.EngineReports(now), now
 	}
 	if p.fleet.Disabled(policy.LoadSharing) {
-		all.Loads = nil
+		update.Loads = nil
 	}
-	all.Limits, all.TargetLimits = p.view.customerLimiter.PeerUpdate(now), p.view.targetLimiter.PeerUpdate(now)
-	if int64(clock.Now()) < p.sendNamingsUntil.Load() {
-		all.Namings = p.namings(now)
+	update.Limits, update.TargetLimits = p.view.customerLimiter.PeerUpdate(now), p.view.targetLimiter.PeerUpdate(now)
+	if int64(clock.Now()) < p.sendDesiredUntil.Load() {
+		update.Namings = p.desiredHistory(now)
 	}
-	return all
+	return update
 }
 
 func (p *peerExchange) receive() {
@@ -219,8 +222,8 @@
 			return
 		}
 		if err != nil {
-			// Loopback reports a peer without a socket as an error of the next
-			// reading, which says nothing of this socket.
+			// On the loopback interface, sending to a peer without a socket is reported as an
+			// error of the next read, which does not concern this socket.
 			continue
 		}
 		p.handle(buffer[:n], from)
@@ -230,7 +233,7 @@
 func (p *peerExchange) handle(datagram []byte, from netip.AddrPort) {
 	var message keelv1.Pulse
 	if err := proto.Unmarshal(datagram, &message); err != nil {
-		p.log.WithError(err).WithField("event", "pulse_unread").Warn("a datagram is no pulse; it is left out")
+		p.log.WithError(err).WithField("event", "pulse_unread").Warn("datagram is not a valid Pulse message; dropped")
 		return
 	}
 	if message.Group != nil {
@@ -245,9 +248,9 @@
 	}
 	p.receiveLimits(&message, now)
 	p.receiveStore(&message)
-	p.receiveNamings(&message, now)
+	p.receiveDesiredHistory(&message, now)
 	p.relay.addPending(pulses.Update{
-		Findings: p.receiveFindings(&message, now),
+		Findings: p.receiveTargetUpdates(&message, now),
 		Caches:   p.fleet.MergeCacheUpdates(message.Sender, pulses.DecodeCaches(message.Caches), now),
 		Saves:    p.receiveSaves(&message, now),
 		Suspects: p.receiveSuspects(&message, now),
@@ -255,30 +258,32 @@
 	p.fleet.MergeEngineReports(message.Sender, pulses.DecodeEngines(message.Engines), now)
 }
 
-// Figures of meetings.
+// Timing of replies to processes that this node does not send updates to.
 const (
-	// contactRetention is for how long a process that is not heard is remembered: far longer than a
-	// choked link keeps its pulses away, so that these do not make it a new one.
+	// contactRetention is how long a silent process is remembered: far longer than a congested
+	// link delays its updates, so that it is not taken for a new process afterwards.
 	contactRetention = time.Minute
-	// replyInterval is how often one that is not told yet is answered if nothing changed: 24
-	// of a group do so, a kilobyte each.
+	// replyInterval is how often a process that gets no updates from this node yet is sent a
+	// reply if nothing changed: the 24 other members of a full group each reply, with about a
+	// kilobyte.
 	replyInterval = 250 * time.Millisecond
-	// namingsResendPeriod is for how long namings are told once a process that has just started
-	// was heard: some pulses, of which a few may be lost.
-	namingsResendPeriod = time.Second
+	// desiredResendPeriod is how long desired versions are sent after a new process was first
+	// heard from: long enough for several updates, of which a few may be lost.
+	desiredResendPeriod = time.Second
 )
 
-// peerContact is when a process was heard last and when it was answered, with what version
-// of what is held against contents.
+// peerContact records when a process was last heard from, when it was last sent a reply, and
+// the version of the crash reports in that reply.
 type peerContact struct {
 	lastSeen, repliedAt time.Time
 	version             int
 }
 
-// noteContact has a process that has just started be told of what is held against contents. It
-// serves as soon as it has its configuration, and tells the others, but these tell it
-// nothing until the store has told them of it, up to half a second later. A request that
-// ends targets ended two more in that time, so it is answered directly.
+// noteContact records the sender of an update. A new sender has held crash reports sent again,
+// and one that gets no updates from this node is sent a reply. A process serves and sends as soon as it has its configuration, but its peers
+// send it nothing until the store has reported it to them, up to half a second later. A
+// request that crashes targets crashed two more in that time, so the process gets a direct
+// reply.
 func (p *peerExchange) noteContact(name string, from netip.AddrPort, now time.Time) {
 	m, known := p.contacts[name]
 	if !known {
@@ -293,22 +298,22 @@
 	maps.DeleteFunc(p.contacts, func(_ string, m peerContact) bool { return now.Sub(m.lastSeen) > contactRetention })
 }
 
-// resendState has what is held against contents, and namings, told once more, for a process
-// that is heard or seen for the first time.
+// resendState has crash reports and desired versions included once more, for a process that
+// was first heard from or seen now.
 func (p *peerExchange) resendState(now time.Time) {
 	p.table.ScheduleResend(now)
-	p.sendNamingsUntil.Store(int64(clock.Now().Add(namingsResendPeriod)))
+	p.sendDesiredUntil.Store(int64(clock.Now().Add(desiredResendPeriod)))
 }
 
-// reply tells a process that is not among those that this one tells, and reports whether
-// there was anything to tell.
+// reply sends held crash reports, desired versions and limits to a process that is not among
+// this node's peers, and reports whether there was anything to send.
 func (p *peerExchange) reply(name string, to netip.AddrPort, now time.Time) bool {
-	held, namings := p.table.BootstrapReports(now), pulses.EncodeNamings(p.namings(now))
+	reports, desired := p.table.BootstrapReports(now), pulses.EncodeNamings(p.desiredHistory(now))
 	limits, targets := p.view.customerLimiter.FullUpdate(now), p.view.targetLimiter.FullUpdate(now)
-	if len(held)+len(namings)+len(limits.Reports)+len(targets.Reports) == 0 || p.view.plan().HasPeer(p.view.keys.members+name) {
+	if len(reports)+len(desired)+len(limits.Reports)+len(targets.Reports) == 0 || p.view.plan().HasPeer(p.view.keys.members+name) {
 		return false
 	}
-	messages := []*keelv1.Pulse{{Sender: p.name, Suspects: pulses.EncodeSuspects(held), Namings: namings}}
+	messages := []*keelv1.Pulse{{Sender: p.name, Suspects: pulses.EncodeSuspects(reports), Namings: desired}}
 	for _, w := range pulses.EncodeLimits(limits) {
 		messages = append(messages, &keelv1.Pulse{Sender: p.name, Limits: w})
 	}
@@ -318,7 +323,7 @@
 	for _, message := range messages {
 		datagram, err := pulses.Encode(message)
 		if err != nil {
-			p.log.WithError(err).WithField("event", "pulse_failed").Error("an entry that starts does not know of suspects, of limits, nor since when weights are wanted")
+			p.log.WithError(err).WithField("event", "pulse_failed").Error("could not encode a reply; a starting node gets no crash reports, limits or ages of named weights")
 			return false
 		}
 		p.write(datagram, to)
@@ -326,40 +331,41 @@
 	return true
 }
 
-// namings returns what an entry that starts needs to know of namings.
-func (p *peerExchange) namings(now time.Time) []fleet.DesiredVersion {
+// desiredHistory returns the desired weight versions, with their ages, that a starting node
+// needs.
+func (p *peerExchange) desiredHistory(now time.Time) []fleet.DesiredVersion {
 	return p.fleet.DesiredHistory(p.view.oldWeightsLimit, now)
 }
 
-// namingsLag is how old a word on namings may be beside what it says.
-const namingsLag = 100 * time.Millisecond
+// desiredHistoryLag is how old a received age of a desired version may be.
+const desiredHistoryLag = 100 * time.Millisecond
 
-func (p *peerExchange) receiveNamings(message *keelv1.Pulse, now time.Time) {
-	for _, n := range p.fleet.MergeDesiredHistory(pulses.DecodeNamings(message.Namings), now.Add(-namingsLag)) {
-		p.log.WithFields(logrus.Fields{"event": "namings_heard", "from": message.Sender, "model": n.Model, "weights": n.Version, "age_ms": n.Age.Milliseconds()}).Info("another entry tells since when the weights are wanted")
+func (p *peerExchange) receiveDesiredHistory(message *keelv1.Pulse, now time.Time) {
+	for _, n := range p.fleet.MergeDesiredHistory(pulses.DecodeNamings(message.Namings), now.Add(-desiredHistoryLag)) {
+		p.log.WithFields(logrus.Fields{"event": "namings_heard", "from": message.Sender, "model": n.Model, "weights": n.Version, "age_ms": n.Age.Milliseconds()}).Info("another node reports how long ago the weights were named")
 	}
 }
 
-func (p *peerExchange) receiveFindings(message *keelv1.Pulse, now time.Time) []fleet.TargetUpdate {
-	all := pulses.DecodeFindings(message.Findings)
-	p.logTargetReports(p.fleet.MergeTargetUpdates(all, now), message.Sender)
-	return all
+func (p *peerExchange) receiveTargetUpdates(message *keelv1.Pulse, now time.Time) []fleet.TargetUpdate {
+	updates := pulses.DecodeFindings(message.Findings)
+	p.logTargetUpdates(p.fleet.MergeTargetUpdates(updates, now), message.Sender)
+	return updates
 }
 
 func (p *peerExchange) receiveSuspects(message *keelv1.Pulse, now time.Time) []poison.Report {
-	all := pulses.DecodeSuspects(message.Suspects)
-	p.table.ApplyReports(all, now)
-	return all
+	reports := pulses.DecodeSuspects(message.Suspects)
+	p.table.ApplyReports(reports, now)
+	return reports
 }
 
 func (p *peerExchange) receiveSaves(message *keelv1.Pulse, now time.Time) []fleet.Saves {
-	all := pulses.DecodeSaves(message.Saves)
-	p.fleet.MergeSaves(all, now)
-	return all
+	saves := pulses.DecodeSaves(message.Saves)
+	p.fleet.MergeSaves(saves, now)
+	return saves
 }
 
-// exchangeAddress is where the node hears its peers: the first of the ports that
-// the platform leaves to the system's own messages.
+// exchangeAddress returns the address at which the node receives datagrams: the first of the
+// ports that the platform reserves for the system's own messages.
 func (n *Node) exchangeAddress() string {
 	port := 0
 	if len(n.settings.Ports) > 0 {
--- a/node/pulse_test.go
+++ b/node/pulse_test.go
@@ -20,11 +20,10 @@
 	"acaciakeel/pulses"
 )
 
-// Two entries choose among the same runners. What one sends, the other must know
-// within a moment, or both put prompts behind each other at the same runner while
-// others are idle; and it must hear of the end as well.
-func TestLoadIsToldToTheOthers(t *testing.T) {
-	w := newWorld(t)
+// Guards against two nodes that queue prompts behind each other at one runner while others are
+// idle: each must learn of the other's requests, and of their end.
+func TestLoadReachesOtherNodes(t *testing.T) {
+	w := newEnv(t)
 	second := w.startNode("n1")
 	for _, r := range w.runners {
 		r.SetPace(200 * time.Millisecond)
@@ -33,7 +32,7 @@
 	defer cancel()
 	go func() {
 		for ctx.Err() == nil {
-			w.send("POST", "/draft/x", "", prompt())
+			w.send("POST", "/draft/x", "", promptHeaders())
 		}
 	}()
 	known := func() int {
@@ -51,16 +50,15 @@
 	w.until("the second node knows that it has ended", func() bool { return known() == 0 })
 }
 
-// An entry hears of a runner's new life. The next datagrams that it sends must
-// tell the others, whose lists are late; and what one that has heard nothing yet
-// still tells of the former life must change nothing there.
-func TestLivesAreTold(t *testing.T) {
+// Guards against nodes whose lists are late and that keep load and cache of a runner's
+// previous start, or apply them to the new one when they are reported late.
+func TestRestartsArePropagated(t *testing.T) {
 	shared := prefix.Chain{Tokens: 900, Boundaries: []prefix.Boundary{{Hash: 1, Tokens: 400}, {Hash: 2, Tokens: 900}}}
 	start := func() (*peerExchange, *fleet.Fleet) {
 		f := fleet.New("z")
 		f.Put(fleet.Target{ID: "r", Born: 10, Service: "lm", Address: "r:1", Weights: map[string]int64{model: 1}})
 		f.Begin(fleet.Instance{ID: "r", Born: 10}, fleet.RequestLoad{Chain: shared, UncachedTokens: 900}, time.Now())
-		return newPeerExchange("n", f, poison.New(nil), &view{customerLimiter: testBook(), targetLimiter: testBook()}, nil), f
+		return newPeerExchange("n", f, poison.New(nil), &view{customerLimiter: testLimiter(), targetLimiter: testLimiter()}, nil), f
 	}
 	tell := func(from, to *peerExchange) {
 		datagrams, err := from.collectUpdate(time.Now()).Datagrams("from", nil)
@@ -77,20 +75,19 @@
 	known.Observe(life)
 	tell(late, knows)
 	if load := known.Occupancy(life); load.Inflight != 0 || load.PrefillTokens != 0 {
-		t.Errorf("the former life's load %+v was taken for the new one's", load)
+		t.Errorf("the previous start's load %+v was counted for the new one", load)
 	}
 	tell(knows, late)
 	if !told.IsCurrent(life) || told.Occupancy(life).Inflight != 0 {
-		t.Errorf("after one round the other holds %+v with load %+v", told.Targets("lm"), told.Occupancy(life))
+		t.Errorf("after one round the other node has %+v with load %+v", told.Targets("lm"), told.Occupancy(life))
 	}
 	caches := []fleet.CacheUpdate{{Address: "r:1", Target: life, Boot: 2, Next: 3}}
 	if got := pulses.DecodeCaches(pulses.EncodeCaches(caches)); len(got) != 1 || got[0].Target != life {
-		t.Errorf("%+v arrived, want the life %+v", got, life)
+		t.Errorf("%+v arrived, want the target %+v", got, life)
 	}
 }
 
-// Anything may arrive at a port. Bytes that are no pulse are left out, and one
-// of a target that is not known changes nothing.
+// Datagrams that are no Pulse message are dropped; load of an unknown target changes nothing.
 func FuzzPulse(f *testing.F) {
 	good, err := proto.Marshal(&keelv1.Pulse{Sender: "n", WholeLoad: true, Loads: []*keelv1.TargetLoad{{Target: "r", Inflight: 3, PrefillTokens: 9}}})
 	if err != nil {
@@ -101,16 +98,16 @@
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		p := newPeerExchange("n", fleet.New("z"), poison.New(nil), &view{customerLimiter: testBook(), targetLimiter: testBook()}, log)
+		p := newPeerExchange("n", fleet.New("z"), poison.New(nil), &view{customerLimiter: testLimiter(), targetLimiter: testLimiter()}, log)
 		p.handle(datagram, netip.AddrPort{})
 		if n := len(p.fleet.IDs()); n != 0 {
-			t.Errorf("a pulse made %d targets", n)
+			t.Errorf("a datagram added %d targets", n)
 		}
 	})
 }
 
-// Many parts are read within one pulse, after new weights. No datagram may grow
-// over a packet, where one lost piece loses all of it, and nothing may be missing.
+// Guards against datagrams larger than a packet, where the loss of one fragment loses all, and
+// against data lost between them, when many parts are prefilled at once after new weights.
 func TestPulseFitsPackets(t *testing.T) {
 	var all pulses.Update
 	for i := range 40 {
@@ -142,23 +139,22 @@
 	}
 }
 
-// A node is alone. It tells nobody, and what it would have told must not pile up
-// in its memory over days.
-func TestAloneNothingPilesUp(t *testing.T) {
+// Guards against updates that accumulate in the memory of a node that has no peers.
+func TestSingleNodeKeepsNoBacklog(t *testing.T) {
 	f := fleet.New("z")
 	f.Put(fleet.Target{ID: "r", Service: "lm", Address: "r:1", Weights: map[string]int64{model: 1}})
 	parts := []prefix.Boundary{{Hash: 1, Tokens: 400}, {Hash: 2, Tokens: 900}}
 	f.Begin(fleet.Instance{ID: "r"}, fleet.RequestLoad{Chain: prefix.Chain{Tokens: 900, Boundaries: parts}}, time.Now())
-	p := newPeerExchange("n", f, poison.New(nil), &view{customerLimiter: testBook(), targetLimiter: testBook()}, nil)
+	p := newPeerExchange("n", f, poison.New(nil), &view{customerLimiter: testLimiter(), targetLimiter: testLimiter()}, nil)
 	p.send(peering.Plan{})
 	if n := len(f.TargetUpdates(time.Now())); n != 0 {
-		t.Errorf("%d findings are kept for nobody", n)
+		t.Errorf("%d findings are kept without peers", n)
 	}
 }
 
-// What an entry observed of engines arrives as it was told, to the digits that a
-// float32 has; a word of another shape, as of a later version, is left out.
-func TestWordsOfEnginesArrive(t *testing.T) {
+// Guards against engine reports that change in encoding beyond the precision of a float32, and
+// against accepting a report of another shape, as of a later version.
+func TestEngineReportsRoundTrip(t *testing.T) {
 	w := forecast.Report{
 		Service:     "lm",
 		SlotHold:    forecast.TimePerToken{Seconds: 12.5, Tokens: 4800},
@@ -178,6 +174,6 @@
 	other := pulses.EncodeEngines([]forecast.Report{w})
 	other[0].Right = other[0].Right[1:]
 	if got := pulses.DecodeEngines(other); len(got) != 0 {
-		t.Errorf("%+v arrived of a word of another shape", got)
+		t.Errorf("%+v arrived from a report of another shape", got)
 	}
 }
--- a/node/start_test.go
+++ b/node/start_test.go
@@ -11,9 +11,9 @@
 	"acaciakeel/platform"
 )
 
-// A port is taken by another process, so that the node can't start and its process
-// ends. Its front door was open by then: clients connected, sent, and lost both.
-func TestTakenPortLeavesTheFrontClosed(t *testing.T) {
+// Guards against clients that connect and lose their requests when the node can't start
+// because another process uses one of its ports.
+func TestPortInUseLeavesFrontClosed(t *testing.T) {
 	stream, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 			n := New(settings, options, log)
 			if err := n.Start(); err == nil {
 				n.cancel()
-				t.Fatal("the node started with a port taken")
+				t.Fatal("the node started with a port in use")
 			}
 			if n.listeners.front != nil {
 				t.Errorf("the front is open at %s", n.FrontAddress())
--- a/node/stop.go
+++ b/node/stop.go
@@ -11,20 +11,19 @@
 	"acaciakeel/router"
 )
 
-// Figures of a planned stop.
+// Timing of a planned stop.
 const (
-	// stopNotice is how long the node serves everything after it has begun to say
-	// that it is not ready: the platform asks once a second and believes the second
-	// answer.
+	// stopNotice is how long the node keeps serving normally after it reports that it is not
+	// ready: the platform probes once a second and acts on the second failed probe.
 	stopNotice = 2600 * time.Millisecond
-	// stopMargin is kept from the moment at which the platform kills the process.
+	// stopMargin is the time left before the platform kills the process.
 	stopMargin = 300 * time.Millisecond
-	// finalAnswerTime is kept before that for the answers to requests that are given
-	// up: a small machine writes some hundred in this time.
+	// finalAnswerTime is reserved before that for answering requests that are given up: a
+	// small machine writes some hundred answers in this time.
 	finalAnswerTime = 200 * time.Millisecond
 )
 
-// stopDeadlines returns the times of a stop that began at a moment, after the notice.
+// stopDeadlines returns the deadlines of a stop that began at the given time.
 func (n *Node) stopDeadlines(begun time.Time) door.Ending {
 	end := begun.Add(n.settings.Bounds.Grace() - stopMargin)
 	return door.Ending{
@@ -34,7 +33,7 @@
 	}
 }
 
-// Stop ends the node in order, within the platform's grace.
+// Stop shuts the node down in order, within the platform's grace period.
 func (n *Node) Stop() {
 	defer n.cancel()
 	e := n.stopDeadlines(time.Now())
@@ -42,30 +41,30 @@
 	defer notice.Stop()
 	close(n.stopping)
 	n.front.Leave()
-	n.log.WithField("event", "stopping").Info("planned stop")
+	n.log.WithField("event", "stopping").Info("planned stop started")
 	go n.withdraw(e.End)
-	handedOver := make(chan struct{})
-	handOver := sync.OnceFunc(func() { n.releaseLease(e.End); close(handedOver) })
-	latest := time.AfterFunc(time.Until(e.Answers), handOver)
-	defer latest.Stop()
+	released := make(chan struct{})
+	release := sync.OnceFunc(func() { n.releaseLease(e.End); close(released) })
+	releaseTimer := time.AfterFunc(time.Until(e.Answers), release)
+	defer releaseTimer.Stop()
 	<-notice.C
 	n.router.Leave(e.Answers)
 	if n.listeners.front.End(e) {
-		n.log.WithField("event", "stopped").Info("all requests ended")
+		n.log.WithField("event", "stopped").Info("all requests finished")
 	} else {
-		n.log.WithField("event", "stop_cut").Warn("the grace ended before all requests did")
+		n.log.WithField("event", "stop_cut").Warn("the grace period ended before all requests had finished")
 	}
-	handOver()
-	<-handedOver
+	release()
+	<-released
 	for _, d := range []*door.Door{n.listeners.ready, n.listeners.metrics} {
 		_ = d.Close()
 	}
 }
 
-// withdraw takes the node out of those that serve. The orders pass to another
-// one at once, if there is one that stays. Where all stop together, the node goes
-// on to give them until its end: otherwise new weights wait until the first has
-// started again, seven seconds with three entries stopped half a second apart.
+// withdraw removes the node from the members. Leadership passes to another node at once if one
+// stays. If all nodes stop together, this one keeps leading until it ends: otherwise a rollout
+// of new weights waits until the first node has started again, seven seconds with three nodes
+// stopped half a second apart.
 func (n *Node) withdraw(end time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
@@ -76,7 +75,7 @@
 	}
 }
 
-// deregister removes the node's entry among the members.
+// deregister deletes the node's entry among the members.
 func (n *Node) deregister(ctx context.Context) error {
 	n.membership.Lock()
 	defer n.membership.Unlock()
@@ -88,8 +87,8 @@
 	return err
 }
 
-// releaseLease ends the node's orders and then its lease. A holder that ended with
-// its process alone would keep the seat until the lease lapses.
+// releaseLease ends the rollout and the other background work, then the lease. A leader whose
+// process merely exited would hold the lock until the lease expires.
 func (n *Node) releaseLease(end time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
@@ -99,12 +98,12 @@
 
 func (n *Node) logReleaseFailure(what string, err error) {
 	if err != nil {
-		n.log.WithError(err).WithFields(logrus.Fields{"event": "give_up_failed", "what": what}).Warn("the others wait until the lease lapses")
+		n.log.WithError(err).WithFields(logrus.Fields{"event": "give_up_failed", "what": what}).Warn("could not release; the other nodes wait until the lease expires")
 	}
 }
 
-// isCandidate reports whether the node is to seek the seat: one that stops only does if
-// no other one stays.
+// isCandidate reports whether the node tries to become leader: a stopping node does so only if
+// no other node serves.
 func (n *Node) isCandidate() bool {
 	select {
 	case <-n.stopping:
--- a/node/view.go
+++ b/node/view.go
@@ -1,5 +1,5 @@
-// Package node is one process of the system on the platform: its view of the
-// operators' intent and of the targets, its duties, and its stop.
+// Package node is one process of the system on the platform: its view of the operators'
+// configuration and of the targets, its background work, and its planned stop.
 package node
 
 import (
@@ -23,7 +23,8 @@
 	"acaciakeel/verdicts"
 )
 
-// view implements platform.View and router.Configuration.
+// view holds what the node knows of the configuration, the targets and the other nodes. It
+// implements platform.View and router.Configuration.
 type view struct {
 	fleet      *fleet.Fleet
 	log        logrus.FieldLogger
@@ -31,46 +32,48 @@
 	leaderLock *rollout.LeaderLock
 	controller *rollout.Controller
 	verdicts   *verdicts.Keeper
-	// staleAfter is the age beyond which keys are not believed.
+	// staleAfter is the age of the view beyond which API keys are not trusted; 0 means no
+	// bound.
 	staleAfter time.Duration
-	// oldWeightsLimit is for how long after newer ones were named older weights serve.
+	// oldWeightsLimit is how long after newer weights became desired requests may be sent to
+	// targets with older ones.
 	oldWeightsLimit time.Duration
 	keys            systemKeys
 
 	config atomic.Pointer[catalog.Config]
-	// customerLimiter holds what customers used of their limits.
+	// customerLimiter tracks customers' use of their limits.
 	customerLimiter *quota.Limiter
-	// targetLimiter holds what all entries sent to targets that name limits.
+	// targetLimiter tracks the requests of all nodes to targets that name limits.
 	targetLimiter *quota.Limiter
 
 	// self is this node's key among the members.
 	self string
 
 	mu sync.Mutex
-	// members are the nodes that serve, by their keys.
+	// members are the nodes that serve, by key.
 	members map[string]peering.Member
-	// departed are those that left within grace, which is how long a process may take to
-	// stop.
+	// departed are the members that left within grace, the longest time that a process may
+	// take to stop.
 	departed  departedMembers
 	grace     time.Duration
 	nodeCount nodeCount
-	// cachedPlan is what this node has to do with them; nil until it is asked for
-	// after a change.
+	// cachedPlan is the peering plan for the current members; nil after a change until it is
+	// next needed.
 	cachedPlan *peering.Plan
-	// loggedPosition is what was logged of it last.
+	// loggedPosition is the position in the plan that was logged last.
 	loggedPosition groupPosition
-	// removalTimers are the targets whose entries vanished around an outage of the
-	// store, with the timers that end their respite.
+	// removalTimers hold the targets whose entries vanished around an outage of the store,
+	// with the timers that remove them.
 	removalTimers map[string]*time.Timer
-	// skipped are the entries that name nothing to use.
+	// skipped are the store's entries that can't be used.
 	skipped *skippedEntries
 }
 
-// systemKeys are the keys of the system's own.
+// systemKeys are the system's own keys in the store.
 type systemKeys struct {
 	leader  string
 	members string
-	// nodeCount is of how many entries there have been lately.
+	// nodeCount is the key of the recent number of nodes.
 	nodeCount string
 }
 
@@ -103,8 +106,8 @@
 	return nil
 }
 
-// Configured implements platform.View. Versions never go back within the life
-// of the process, whatever a read that is late may say.
+// Configured implements platform.View. Versions never decrease within the life of the process,
+// even if an older read arrives late.
 func (v *view) Configured(c *catalog.Config) {
 	if old := v.config.Load(); old != nil && c.Version <= old.Version {
 		return
@@ -119,21 +122,25 @@
 	v.fleet.SetStores(stores)
 	v.customerLimiter.SetLimits(c.CustomerLimits(), time.Now())
 	v.activatePending(c.Services)
-	v.log.WithFields(logrus.Fields{"event": "config_applied", "version": c.Version, "routes": len(c.Routes), "customers": len(c.Customers)}).Info("configuration in force")
+	v.log.WithFields(logrus.Fields{"event": "config_applied", "version": c.Version, "routes": len(c.Routes), "customers": len(c.Customers)}).Info("configuration applied")
 }
 
-// changeLag is how old news of the store may be when it is heard: the pause after other
-// news before the next watch, and the way over the member that watches for its group.
+// changeLag is the maximum age of a change of the store when it is received: the pause after a
+// batch before the next watch, and the way through the member that watches for its group.
 const changeLag = batchDelay + 100*time.Millisecond
 
-// namedAt returns since when new weights are taken to be wanted: their bound runs from
-// the store's word, which may be as old as news gets. One that finds them in a listing
-// knows no more than that they were not there when its view was last confirmed; were they
-// taken for as old as may be, a store that drops its history as weights are named would
-// leave all targets with older ones out of use at once. At its start it knows nothing, and
-// guesses that the time of older weights is over, until the others tell: the naming may be
-// as old as the bound, and requests would begin on them after it.
-func (v *view) namedAt(model string, listed bool, now time.Time) (at time.Time, guessed bool) {
+// desiredSince returns the time from which new weights count as desired. The bound on older
+// weights runs from the store's acknowledgement, which may be older than the receipt by
+// changeLag.
+//
+// Weights found in a listing are known only to have been absent when the view was last
+// confirmed. Assuming the maximum age for them would put all targets with older weights out of
+// use at once if the store drops its history while the version is being changed.
+//
+// At start nothing is known, and the time for older weights is assumed to be over until the
+// other nodes report the age: the change may be as old as the bound, and requests would start
+// on older weights after it.
+func (v *view) desiredSince(model string, listed bool, now time.Time) (at time.Time, guessed bool) {
 	if !listed {
 		return now.Add(-changeLag), false
 	}
@@ -151,18 +158,18 @@
 // Named implements platform.View.
 func (v *view) Named(n platform.Naming) {
 	now := time.Now()
-	at, guessed := v.namedAt(n.Model, n.Listed, now)
+	at, guessed := v.desiredSince(n.Model, n.Listed, now)
 	if !v.fleet.RecordDesired(n.Model, n.Version, at, guessed) {
 		return
 	}
 	fields := logrus.Fields{"event": "weights_named", "model": n.Model, "weights": n.Version, "revision": n.Revision, "listed": n.Listed, "guessed": guessed, "age_ms": now.Sub(at).Milliseconds()}
-	v.log.WithFields(fields).Info("new weights are wanted")
+	v.log.WithFields(fields).Info("new weights named")
 	v.controller.Wake()
 }
 
-// oldestNaming returns for how long the oldest naming of weights has not been in
-// force at all targets that stay.
-func (v *view) oldestNaming(now time.Time) time.Duration {
+// oldestPendingRollout returns for how long the oldest desired weights have not been loaded on
+// all targets; draining targets are left out.
+func (v *view) oldestPendingRollout(now time.Time) time.Duration {
 	oldest := time.Duration(0)
 	for model, services := range v.services() {
 		for _, service := range services {
@@ -182,34 +189,34 @@
 		return
 	}
 	if !v.fleet.Put(r) {
-		v.log.WithFields(logrus.Fields{"event": "target_former", "target": r.ID, "born": r.Born}).Warn("the list tells of a life that has ended; it changes nothing")
+		v.log.WithFields(logrus.Fields{"event": "target_former", "target": r.ID, "born": r.Born}).Warn("the store lists an earlier start of the target; ignored")
 		return
 	}
 	v.mu.Lock()
 	v.cancelRemoval(r.ID)
 	v.mu.Unlock()
-	v.log.WithFields(logrus.Fields{"event": "target_listed", "target": r.ID, "born": r.Born, "address": r.Address, "draining": r.Draining, "weights": r.Weights}).Info("the list says so")
+	v.log.WithFields(logrus.Fields{"event": "target_listed", "target": r.ID, "born": r.Born, "address": r.Address, "draining": r.Draining, "weights": r.Weights}).Info("target listed in the store")
 }
 
-// recoveryGrace is how long after the store's return an entry that vanished meanwhile
-// may still come back; one missing then is gone.
+// recoveryGrace is how long after the store's recovery an entry that vanished during the
+// outage may reappear before its target is removed.
 const recoveryGrace = 1800 * time.Millisecond
 
-// targetRestarted logs the first sign of a target's later life.
-func (v *view) targetRestarted(now, former fleet.Instance) {
-	v.log.WithFields(logrus.Fields{"event": "target_reborn", "target": now.ID, "born": now.Born, "former": former.Born}).Info("the target started again; what was kept of its former life has ended")
+// targetRestarted is called when a target is first known to have restarted.
+func (v *view) targetRestarted(current, previous fleet.Instance) {
+	v.log.WithFields(logrus.Fields{"event": "target_reborn", "target": current.ID, "born": current.Born, "former": previous.Born}).Info("the target restarted; the state of its earlier start is discarded")
 	v.controller.Wake()
-	v.verdicts.Table.RecordCrash(former, time.Now())
+	v.verdicts.Table.RecordCrash(previous, time.Now())
 }
 
-// Gone implements platform.View. Entries lapse while the store can't be
-// written, so around an outage one that vanishes says nothing of its target,
-// whose own answers go on telling how it does.
+// Gone implements platform.View. Entries expire while the store can't be written, so an entry
+// that vanishes around an outage says nothing about its target, whose own answers still show
+// its state.
 func (v *view) Gone(id string) {
 	v.skipped.removePending(id)
-	v.skipped.clear(platform.TargetKey(id))
-	since, back := v.follower.SinceRecovery()
-	if !back || since >= recoveryGrace {
+	v.skipped.removeRecord(platform.TargetKey(id))
+	since, recovered := v.follower.SinceRecovery()
+	if !recovered || since >= recoveryGrace {
 		v.removeUnlisted(id)
 		return
 	}
@@ -225,14 +232,14 @@
 	v.cancelRemoval(id)
 	v.mu.Unlock()
 	if last, ok := v.fleet.Remove(id); ok && !last.Draining {
-		// Of one that said nothing of leaving, answers that broke off just before are
-		// the sign of a crash: of a machine that fell silent there is no other.
+		// The target did not announce that it leaves, so responses that broke off shortly
+		// before are taken as a crash. A machine that went silent gives no other sign.
 		v.verdicts.Table.RecordCrash(last.Instance(), time.Now())
 	}
-	v.log.WithFields(logrus.Fields{"event": "target_gone", "target": id}).Info("the list lost the target")
+	v.log.WithFields(logrus.Fields{"event": "target_gone", "target": id}).Info("the target's entry is gone; target removed")
 }
 
-// cancelRemoval ends a respite; the caller holds mu.
+// cancelRemoval stops the removal timer of a target; the caller holds mu.
 func (v *view) cancelRemoval(id string) {
 	if timer := v.removalTimers[id]; timer != nil {
 		timer.Stop()
@@ -271,7 +278,7 @@
 		return
 	}
 	if value == "" {
-		v.skipped.clear(key)
+		v.skipped.removeRecord(key)
 		v.setMember(key, "")
 		return
 	}
@@ -282,10 +289,11 @@
 	v.setMember(key, value)
 }
 
-// receiveVerdict takes what the store says of a receiveVerdict; an empty value is its end.
+// receiveVerdict applies the stored verdict on a content; an empty value means that it was
+// deleted.
 func (v *view) receiveVerdict(key, value string, revision int64, content poison.Fingerprint, err error) {
 	if err == nil && value == "" {
-		v.skipped.clear(key)
+		v.skipped.removeRecord(key)
 		v.verdicts.Gone(content)
 		return
 	}
@@ -296,29 +304,29 @@
 		v.LeftOut(platform.LeftOut{Key: key, Revision: revision, Fault: &platform.Fault{Reason: platform.BadValue, Err: err}})
 		return
 	}
-	v.skipped.clear(key)
+	v.skipped.removeRecord(key)
 }
 
-// leaderChanged takes what the store says of the seat; an empty value is its end.
-func (v *view) leaderChanged(holder string, revision int64) {
-	if holder != "" && !isInstanceName(holder) {
+// leaderChanged applies the stored leader; an empty value means that there is none.
+func (v *view) leaderChanged(leader string, revision int64) {
+	if leader != "" && !isInstanceName(leader) {
 		v.LeftOut(platform.LeftOut{Key: v.keys.leader, Revision: revision, Fault: &platform.Fault{Reason: platform.BadValue}})
 		return
 	}
-	v.skipped.clear(v.keys.leader)
-	v.leaderLock.Observe(holder, revision)
+	v.skipped.removeRecord(v.keys.leader)
+	v.leaderLock.Observe(leader, revision)
 	v.controller.Wake()
 }
 
-// membersChanged has the plan worked out anew when it is next asked for: entries
-// that start together bring a hundred changes within a second. The caller holds mu.
+// membersChanged discards the cached plan; it is computed again when it is next needed, since
+// nodes that start together cause a hundred changes within a second. The caller holds mu.
 func (v *view) membersChanged() {
 	v.cachedPlan = nil
 	v.updateLimitMembers()
 	v.fleet.SetMembers(v.self, slices.Collect(maps.Keys(v.members)))
 }
 
-// plan returns what this node has to do with the others.
+// plan returns this node's peering plan.
 func (v *view) plan() peering.Plan {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -330,20 +338,20 @@
 	return *v.cachedPlan
 }
 
-// groupPosition is where a node stands among the others.
+// groupPosition is a node's position among the groups.
 type groupPosition struct {
 	group, groups int
-	// watches is set where it watches the store for its group.
+	// watches is set if the node watches the store for its group.
 	watches bool
 }
 
-// logPosition logs a change of the node's place; the caller holds mu.
+// logPosition logs a change of the node's position; the caller holds mu.
 func (v *view) logPosition(p groupPosition) {
 	if p == v.loggedPosition {
 		return
 	}
 	v.loggedPosition = p
-	v.log.WithFields(logrus.Fields{"event": "grouped", "group": p.group, "groups": p.groups, "watches": p.watches}).Info("the entries are divided so")
+	v.log.WithFields(logrus.Fields{"event": "grouped", "group": p.group, "groups": p.groups, "watches": p.watches}).Info("position among the groups changed")
 }
 
 // OwnRelisted implements platform.View.
--- a/node/view_test.go
+++ b/node/view_test.go
@@ -15,18 +15,18 @@
 	"acaciakeel/store"
 )
 
-// forgetful is a store that drops its history once, while weights are named.
-type forgetful struct {
+// compactingStore is a store that drops its history once, while weights are named.
+type compactingStore struct {
 	store.Store
 	lists, watches int
 }
 
-func (s *forgetful) List(context.Context, string) (store.Listing, error) {
+func (s *compactingStore) List(context.Context, string) (store.Listing, error) {
 	s.lists++
 	return store.Listing{Revision: int64(s.lists)}, nil
 }
 
-func (s *forgetful) Watch(ctx context.Context, _ string, after int64, _ time.Duration) (store.Events, error) {
+func (s *compactingStore) Watch(ctx context.Context, _ string, after int64, _ time.Duration) (store.Events, error) {
 	s.watches++
 	if s.watches == 1 {
 		return store.Events{Revision: after, Compacted: true}, nil
@@ -35,14 +35,15 @@
 	return store.Events{}, ctx.Err()
 }
 
-// naming tells a view of weights 1 at the first listing and of 2 at the second.
-type naming struct {
+// namingHandler sets weights 1 as desired in a view at the first listing and weights 2 at the
+// second.
+type namingHandler struct {
 	view   *view
 	listed int64
 	done   chan struct{}
 }
 
-func (n *naming) Reset([]store.Entry, int64) {
+func (n *namingHandler) Reset([]store.Entry, int64) {
 	n.listed++
 	n.view.Named(platform.Naming{Model: "m", Version: n.listed, Listed: true})
 	if n.listed == 2 {
@@ -50,46 +51,43 @@
 	}
 }
 
-func (n *naming) Apply([]store.Event) {}
+func (n *namingHandler) Apply([]store.Event) {}
 
-// quietView returns a view that knows nothing yet, and its targets.
-func quietView() (*view, *fleet.Fleet) {
+// newIdleView returns a view that knows nothing yet, and its targets.
+func newIdleView() (*view, *fleet.Fleet) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f := fleet.New("z")
-	v := &view{fleet: f, customerLimiter: testBook(), targetLimiter: testBook(), log: log, oldWeightsLimit: 18 * time.Second}
+	v := &view{fleet: f, customerLimiter: testLimiter(), targetLimiter: testLimiter(), log: log, oldWeightsLimit: 18 * time.Second}
 	v.controller = rollout.NewController("n", rollout.Config{Fleet: f}, log)
 	return v, f
 }
 
-// The store drops its history as weights are named, and the entries find them in a
-// listing. A listing does not say since when; taken for as old as may be, all
-// runners with the weights before were out of use two seconds later, and of the
-// next requests none was served. But these entries had read the store a moment ago.
-func TestWeightsFoundInAListingAreNoOlderThanTheViewBefore(t *testing.T) {
-	v, f := quietView()
-	n := &naming{view: v, done: make(chan struct{})}
-	v.follower = follow.New(&forgetful{}, "", follow.Options{}, n, v.log)
+// Guards against weights found in a listing counting as the maximum age when the store drops
+// its history: all runners with older weights were out of use two seconds later.
+func TestListedWeightsAgeFromLastConfirmation(t *testing.T) {
+	v, f := newIdleView()
+	n := &namingHandler{view: v, done: make(chan struct{})}
+	v.follower = follow.New(&compactingStore{}, "", follow.Options{}, n, v.log)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go v.follower.Run(ctx)
 	<-n.done
 	now := time.Now()
 	if behind := f.StaleFor("m", 1, now); behind > 10*time.Second {
-		t.Errorf("weights 2 count as wanted for %v", behind)
+		t.Errorf("weights 2 count as named %v ago", behind)
 	}
 	if behind := f.StaleFor("m", 0, now); behind < 16*time.Second {
-		t.Errorf("weights 1, found by the first listing, count as wanted for %v only", behind)
+		t.Errorf("weights 1, found by the first listing, count as named only %v ago", behind)
 	}
 }
 
-// Weights are named a moment after other news. The entry pauses before it asks the store
-// again and hears of them 0.26 s late; counted from then, requests were sent to targets
-// with older weights for as much longer, and began after the bound.
-func TestANamingCountsFromWhenItMayHaveBeenAcknowledged(t *testing.T) {
-	v, f := quietView()
+// Guards against weights whose age counts from receipt: a node in its batch delay learns of
+// them 0.26 s late, and requests started on older weights after the bound.
+func TestWeightsAgeIncludesChangeLag(t *testing.T) {
+	v, f := newIdleView()
 	v.Named(platform.Naming{Model: "m", Version: 2})
 	if behind := f.StaleFor("m", 1, time.Now()); behind < batchDelay {
-		t.Errorf("weights that were heard of just now count as wanted for %v; the pause alone is %v", behind, batchDelay)
+		t.Errorf("weights received just now count as named %v ago; the batch delay alone is %v", behind, batchDelay)
 	}
 }
--- a/node/watchshare.go
+++ b/node/watchshare.go
@@ -13,21 +13,23 @@
 	"acaciakeel/store"
 )
 
-// watchShare is by what the members of a group share one watch of the platform's
-// store. Whoever calls the store tells its changes and, in each pulse, up to where
-// and how long ago its view was complete. A datagram may be late by any time, and
-// its sender may have been frozen before it went: so each pulse bears a mark of its
-// sender's clock, and a confirmation the last mark heard of each member. It was
-// made after that mark, whatever has happened since, and counts from there. A watch
-// each would have the store answer as many calls a second as there are nodes.
+// watchShare lets the members of a group share one watch of the platform's store; with a watch
+// each, the store would answer as many calls a second as there are nodes. The member that
+// calls the store sends the changes it receives and, in each update, the revision up to which
+// its view was complete and how long ago.
+//
+// A datagram may be delayed without bound, and its sender may have been suspended before
+// sending it. Each update therefore carries a timestamp of its sender's clock, and a
+// confirmation echoes the last timestamp received from each member. The confirmation was made
+// after that timestamp, so a member counts its age from there.
 type watchShare struct {
 	// self is the hash of this node's name.
 	self uint64
 
 	mu sync.Mutex
-	// changes wait to be told.
+	// changes wait to be sent.
 	changes []follow.Changes
-	// timestamps are the last of each member, by the hash of its name.
+	// timestamps are the last ones received, by the hash of the member's name.
 	timestamps map[uint64]peerTimestamp
 }
 
@@ -40,28 +42,29 @@
 	return watchShare{self: self, timestamps: map[uint64]peerTimestamp{}}
 }
 
-// Figures of the shared watch.
+// Bounds of the shared watch.
 const (
-	// maxSharedBytes is how many bytes of changes of one watch are told; what is larger,
-	// such as a whole configuration, each member reads itself: to 24 others this much
-	// takes a link of 20 Mbit/s for a quarter of a second.
+	// maxSharedBytes bounds the changes of one watch that are sent to the group; what is
+	// larger, such as a whole configuration, each member reads from the store. Sending this
+	// much to 24 members occupies a 20 Mbit/s link for a quarter of a second.
 	maxSharedBytes = 24 << 10
-	// changeOverhead is about what a change takes beside its key and value.
+	// changeOverhead is the approximate encoded size of a change without its key and value.
 	changeOverhead = 16
-	// peerTimeoutBase is for how long a node lives on what the member first in turn
-	// confirmed: two of its watches, the gathering of news and three pulses.
+	// peerTimeoutBase is how long a node relies on confirmations of the first member in rank
+	// before it calls the store itself: two watches, the batch delay and three update
+	// intervals.
 	peerTimeoutBase = 1500 * time.Millisecond
-	// peerTimeoutStep is how much longer each further one waits, so that one after the
-	// other takes the watch over; patienceMost bounds it below the age at which
-	// keys are no longer trusted.
+	// peerTimeoutStep is how much longer each further member waits, so that they take over the
+	// watch one after the other; peerTimeoutMax keeps the wait below the age at which API keys
+	// are no longer trusted.
 	peerTimeoutStep = 50 * time.Millisecond
 	peerTimeoutMax  = 2400 * time.Millisecond
-	// timestampValidity is for how long a member's mark is repeated.
+	// timestampValidity is how long a member's timestamp is echoed.
 	timestampValidity = 2 * time.Second
 )
 
-// peerTimeoutAt returns for how long a node with so many members of its group before it
-// waits for their word.
+// peerTimeoutAt returns how long a node relies on the confirmations of the members that rank
+// before it.
 func peerTimeoutAt(rank int) time.Duration {
 	if rank == 0 {
 		return 0
@@ -69,7 +72,7 @@
 	return min(peerTimeoutMax, peerTimeoutBase+time.Duration(rank)*peerTimeoutStep)
 }
 
-// peerTimeout implements follow.Timing.Patience.
+// peerTimeout implements follow.Options.PeerTimeout.
 func (v *view) peerTimeout() time.Duration {
 	p := v.plan()
 	if !p.Joined {
@@ -78,7 +81,7 @@
 	return peerTimeoutAt(p.Rank)
 }
 
-// shareChanges takes changes that an own watch brought, to be told at once.
+// shareChanges queues the changes that this node's watch returned and has them sent at once.
 func (p *peerExchange) shareChanges(c follow.Changes) {
 	if p.fleet.Disabled(policy.SharedWatch) {
 		return
@@ -93,10 +96,10 @@
 	p.sendSoon()
 }
 
-// splitChanges divides changes into pieces of which each fits a packet, if no
-// single value is larger; ok is false where they are not to be told. Each piece
-// begins where the one before it ends, so who misses one knows by the next. Changes
-// of one revision stay together.
+// splitChanges divides changes into pieces that fit one packet each, unless a single value is
+// larger; ok is false if the changes are not to be shared. Each piece begins at the revision
+// where the previous one ends, so that a member that missed one detects the gap. Changes of
+// one revision stay together.
 func splitChanges(c follow.Changes) (pieces []follow.Changes, ok bool) {
 	total, size := 0, 0
 	piece := follow.Changes{After: c.After, SinceRecovery: c.SinceRecovery}
@@ -125,7 +128,7 @@
 	return out
 }
 
-// recordTimestamp notes a member's mark.
+// recordTimestamp stores a member's timestamp.
 func (w *watchShare) recordTimestamp(sender string, clock uint64, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -140,8 +143,8 @@
 	}
 }
 
-// storeView returns what this node confirms of the store, or nil. The marks are
-// taken before the age is worked out.
+// storeView returns this node's confirmation of its view of the store, or nil. The timestamps
+// are copied before the age is computed, so that the confirmation is later than each of them.
 func (p *peerExchange) storeView() *keelv1.StoreView {
 	if p.view.follower == nil || p.fleet.Disabled(policy.SharedWatch) {
 		return nil
@@ -161,7 +164,7 @@
 	return out
 }
 
-// receiveStore takes what a member tells of the store.
+// receiveStore applies a member's changes and confirmation of the store.
 func (p *peerExchange) receiveStore(message *keelv1.Pulse) {
 	if message.MarkUs > 0 {
 		p.watch.recordTimestamp(message.Sender, message.MarkUs, time.Now())
@@ -194,12 +197,12 @@
 	return w
 }
 
-// sendChanges tells the peers of changes of the store.
+// sendChanges sends changes of the store to the peers.
 func (p *peerExchange) sendChanges(all []follow.Changes, addresses []string) {
 	for _, c := range all {
 		datagram, err := pulses.Encode(&keelv1.Pulse{Sender: p.name, Changes: []*keelv1.StoreChanges{encodeChanges(c)}})
 		if err != nil {
-			p.log.WithError(err).WithField("event", "changes_untold").Error("the others of the group read the store themselves")
+			p.log.WithError(err).WithField("event", "changes_untold").Error("could not encode changes of the store; the peers read them from the store")
 			return
 		}
 		p.sendTo(addresses, datagram)
--- a/node/world_test.go
+++ b/node/world_test.go
@@ -20,31 +20,31 @@
 	"acaciakeel/quota"
 )
 
-// world is a node with its platform: a store, two runners of a model, two
-// targets of a plain service.
-type world struct {
-	t       *testing.T
-	store   *kv.Store
-	kv      *httptest.Server
-	node    *Node
-	runners []*runner.Runner
-	desks   []*runner.Runner
-	version int
-	// graceS is the grace of the nodes started from now on, in seconds.
+// testEnv is a node with its platform: a store, two runners of a model and two targets of a
+// plain service.
+type testEnv struct {
+	t            *testing.T
+	store        *kv.Store
+	kv           *httptest.Server
+	node         *Node
+	runners      []*runner.Runner
+	plainTargets []*runner.Runner
+	version      int
+	// graceS is the grace period, in seconds, of nodes started from now on.
 	graceS float64
-	// stock is the service that lookups go to.
-	stock string
-	log   logrus.FieldLogger
-	// newest is when the last node began.
-	newest time.Time
-	// customer has further fields of the customer in the configuration.
+	// lookupService is the service that lookups go to.
+	lookupService string
+	log           logrus.FieldLogger
+	// lastStart is when the last node was started.
+	lastStart time.Time
+	// customer has additional fields of the customer in the configuration.
 	customer map[string]any
 	// versionMS is the bound on older weights, in milliseconds.
 	versionMS int
 }
 
-// testBook returns the book of customers' limits of a node that is alone.
-func testBook() *quota.Limiter {
+// testLimiter returns the limiter of customers' limits of a node without peers.
+func testLimiter() *quota.Limiter {
 	return quota.NewLimiter(quota.Tolerance{}, nil, func() bool { return true }, time.Now())
 }
 
@@ -54,26 +54,27 @@
 	otherKey = "key-2"
 )
 
-func newWorld(t *testing.T) *world {
+func newEnv(t *testing.T) *testEnv {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return newWorldWith(t, log)
+	return newEnvWith(t, log)
 }
 
-// newWorldWith returns a world whose nodes log to log, changed before its node starts.
-func newWorldWith(t *testing.T, log logrus.FieldLogger, changes ...func(*world)) *world {
+// newEnvWith returns an environment whose nodes log to log; changes are applied before its
+// node starts.
+func newEnvWith(t *testing.T, log logrus.FieldLogger, changes ...func(*testEnv)) *testEnv {
 	t.Helper()
-	w := &world{t: t, store: kv.NewStore(0), graceS: 8, stock: "desk", log: log, versionMS: 8000}
+	w := &testEnv{t: t, store: kv.NewStore(0), graceS: 8, lookupService: "desk", log: log, versionMS: 8000}
 	w.kv = httptest.NewServer(kv.NewServer(w.store).Handler())
 	for i := range 2 {
 		w.runners = append(w.runners, runner.Start(fmt.Sprintf("r%d", i), "lm", map[string]int64{model: 1}))
-		w.desks = append(w.desks, runner.Start(fmt.Sprintf("d%d", i), "desk", nil))
+		w.plainTargets = append(w.plainTargets, runner.Start(fmt.Sprintf("d%d", i), "desk", nil))
 	}
 	for _, change := range changes {
 		change(w)
 	}
-	for _, r := range append(w.runners, w.desks...) {
+	for _, r := range append(w.runners, w.plainTargets...) {
 		w.store.Set(r.Entry("ready").Key, r.Entry("ready").Value)
 		t.Cleanup(r.Close)
 	}
@@ -85,7 +86,7 @@
 }
 
 // startNode starts a node and waits until it is ready.
-func (w *world) startNode(name string) *Node {
+func (w *testEnv) startNode(name string) *Node {
 	w.t.Helper()
 	settings := platform.Node{
 		Name: name, IP: "127.0.0.1", Zone: "z1", Ports: []int{0},
@@ -101,7 +102,7 @@
 		w.t.Fatal(err)
 	}
 	w.t.Cleanup(n.cancel)
-	w.newest = time.Now()
+	w.lastStart = time.Now()
 	w.until("the node is ready", func() bool { return get(w.t, n.ReadyAddress()) == http.StatusOK })
 	return n
 }
@@ -116,22 +117,21 @@
 	return resp.StatusCode
 }
 
-// patience bounds the waiting for something that must come; no test judges how
-// long it took.
-const patience = 20 * time.Second
+// waitTimeout bounds the wait for an expected event; no test depends on how long it took.
+const waitTimeout = 20 * time.Second
 
-func (w *world) until(what string, done func() bool) {
+func (w *testEnv) until(what string, done func() bool) {
 	w.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	w.t.Fatalf("waited in vain until %s", what)
+	w.t.Fatalf("timed out waiting until %s", what)
 }
 
-// configure writes a new version of the configuration with the keys given.
-func (w *world) configure(keys ...string) {
+// configure writes a new version of the configuration with the given keys.
+func (w *testEnv) configure(keys ...string) {
 	w.version++
 	route := func(name, prefix, kind, service string, more map[string]any) map[string]any {
 		r := map[string]any{"name": name, "host": "h.example", "path_prefix": prefix, "kind": kind, "service": service, "timeout_ms": 5000, "target_latency_ms": 2000, "attempts": 2}
@@ -144,8 +144,8 @@
 		map[string]any{"name": "lm", "max_conns": 100, "engine": map[string]any{"slots": 8, "kv_capacity_tokens": 100000, "kv_token_bytes": 1000, "models": []any{map[string]any{"name": model}}}},
 		map[string]any{"name": "desk", "max_conns": 100},
 	}
-	if w.stock != "desk" {
-		services = append(services, map[string]any{"name": w.stock, "max_conns": 100})
+	if w.lookupService != "desk" {
+		services = append(services, map[string]any{"name": w.lookupService, "max_conns": 100})
 	}
 	customer := map[string]any{"name": "c1", "api_keys": keys}
 	maps.Copy(customer, w.customer)
@@ -155,7 +155,7 @@
 			route("draft", "/draft/", "streaming", "lm", map[string]any{"sticky": true, "resumable": true}),
 			route("match", "/match/", "streaming", "lm", map[string]any{"sticky": true, "attempts": 1, "timeout_ms": 15000}),
 			route("hold", "/hold/", "non_idempotent", "desk", map[string]any{"attempts": 1, "timeout_ms": 15000}),
-			route("stock", "/stock/", "idempotent", w.stock, map[string]any{"target_latency_ms": 100}),
+			route("stock", "/stock/", "idempotent", w.lookupService, map[string]any{"target_latency_ms": 100}),
 		},
 		"services": services,
 		"limits":   map[string]any{"max_header_bytes": 8192, "max_body_bytes": 1000, "header_timeout_ms": 3000, "idle_timeout_ms": 15000},
@@ -164,23 +164,23 @@
 	w.store.Set("op/config", value)
 }
 
-type answer struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-var ids int
+var lastID int
 
-// send sends one attempt of a client, with a fresh id.
-func (w *world) send(method, path, body string, header map[string]string) answer {
+// send sends one attempt of a client, with a new id.
+func (w *testEnv) send(method, path, body string, header map[string]string) response {
 	w.t.Helper()
-	ids++
-	return w.sendTo(w.node, method, path, body, fmt.Sprintf("id-%d", ids), header)
+	lastID++
+	return w.sendTo(w.node, method, path, body, fmt.Sprintf("id-%d", lastID), header)
 }
 
-func (w *world) sendTo(n *Node, method, path, body, id string, header map[string]string) answer {
+func (w *testEnv) sendTo(n *Node, method, path, body, id string, header map[string]string) response {
 	w.t.Helper()
 	req, err := client.Request{
 		Method: method, Host: "h.example", Path: path, ID: id, Key: goodKey, Body: body, Deadline: 5 * time.Second,
@@ -193,18 +193,18 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
-func prompt() map[string]string {
+func promptHeaders() map[string]string {
 	return map[string]string{"Model": model, "Token-Count": "900,50", "Prefix-Hash": "aa:400,bb:300,cc:200"}
 }
 
-func (w *world) ran(targets []*runner.Runner) []runner.Seen {
+func (w *testEnv) executed(targets []*runner.Runner) []runner.Seen {
 	var out []runner.Seen
 	for _, r := range targets {
 		for _, s := range r.Seen() {
@@ -216,7 +216,7 @@
 	return out
 }
 
-func whole() string {
+func completeStream() string {
 	var b strings.Builder
 	for i := 1; i <= runner.Events; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
