--- a/node/node.go
+++ b/node/node.go
@@ -162,7 +162,7 @@
 	n.view.follower.OnChanges(n.exchange.shareChanges)
 	n.registerGauges()
 	n.cacheWatcher = fleet.NewCacheWatcher(targets, runners)
-	bounds := router.Bounds{OldWeights: n.view.oldWeightsLimit, Begin: time.Duration(s.Bounds.VersionMS)*time.Millisecond - beginMargin}
+	bounds := router.Bounds{MaxStaleness: n.view.oldWeightsLimit, MaxStartStaleness: time.Duration(s.Bounds.VersionMS)*time.Millisecond - beginMargin}
 	retries := router.RetryBounds{
 		Ratio:  s.Bounds.RetryRatio,
 		Extra:  s.Bounds.RetryExtra,
--- a/node/stop.go
+++ b/node/stop.go
@@ -28,7 +28,7 @@
 	end := begun.Add(n.settings.Bounds.Grace() - stopMargin)
 	return door.Ending{
 		Answers:   end.Add(-finalAnswerTime),
-		Interrupt: func() { n.cancelRequests(router.ErrEnding) },
+		Interrupt: func() { n.cancelRequests(router.ErrShutdown) },
 		End:       end,
 	}
 }
@@ -48,7 +48,7 @@
 	releaseTimer := time.AfterFunc(time.Until(e.Answers), release)
 	defer releaseTimer.Stop()
 	<-notice.C
-	n.router.Leave(e.Answers)
+	n.router.SetShutdownDeadline(e.Answers)
 	if n.listeners.front.End(e) {
 		n.log.WithField("event", "stopped").Info("all requests finished")
 	} else {
