--- a/node/answers_test.go
+++ b/node/answers_test.go
@@ -91,11 +91,11 @@
 			w.store.Set(leaving.Key, leaving.Value)
 			w.until("a hold reaches the target with the invalid status", func() bool {
 				a := w.send("POST", "/hold/x", "box", nil)
-				met := runs.Load()
-				if a.err != nil || met > 1 || (met == 1 && a.status != http.StatusBadGateway) {
-					t.Errorf("%d runs, answered %d (%v), want one and 502", met, a.status, a.err)
+				sent := runs.Load()
+				if a.err != nil || sent > 1 || (sent == 1 && a.status != http.StatusBadGateway) {
+					t.Errorf("%d runs, answered %d (%v), want one and 502", sent, a.status, a.err)
 				}
-				return met > 0
+				return sent > 0
 			})
 		})
 	}
--- a/node/digest_test.go
+++ b/node/digest_test.go
@@ -138,7 +138,7 @@
 	}
 	for _, loaded := range []int{0, 200, 3000} {
 		var d groupRelay
-		now, sent, loads, kept := time.Unix(1000, 0), 0, 0, 0
+		now, sent, loads, caches := time.Unix(1000, 0), 0, 0, 0
 		begun := now
 		for now.Sub(begun) < 10*time.Second {
 			var all pulses.Update
@@ -154,9 +154,9 @@
 				for i := range loaded {
 					load = append(load, fleet.Occupancy{Target: fleet.Instance{ID: fmt.Sprintf("i-%010d", i)}, Inflight: 3, PrefillTokens: 900})
 				}
-				told := d.takePending(l, load)
-				loads, kept = loads+len(told.Loads), kept+len(told.Caches)
-				datagrams, err := told.Datagrams("n", l.header(plan))
+				digest := d.takePending(l, load)
+				loads, caches = loads+len(digest.Loads), caches+len(digest.Caches)
+				datagrams, err := digest.Datagrams("n", l.header(plan))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -169,8 +169,8 @@
 		if rate := sent * (plan.GroupCount - 1) / 10; float64(rate) > 1.2*digestRate {
 			t.Errorf("%d targets with load: a node receives %d bytes a second from the other groups", loaded, rate)
 		}
-		if loads < loaded || kept == 0 {
-			t.Errorf("%d targets with load: %d loads and %d cache changes were sent in ten seconds", loaded, loads, kept)
+		if loads < loaded || caches == 0 {
+			t.Errorf("%d targets with load: %d loads and %d cache changes were sent in ten seconds", loaded, loads, caches)
 		}
 	}
 }
@@ -215,19 +215,19 @@
 func TestNonMemberGetsReply(t *testing.T) {
 	h := newCluster(5)
 	c := poison.Case{Content: poison.Content{URI: "/deadly"}.Fingerprint(), Service: "lm", Customer: "c1"}
-	ended := fleet.Instance{ID: "ended", Born: 1}
-	fresh := h.nodes[4]
+	crashed := fleet.Instance{ID: "ended", Born: 1}
+	starting := h.nodes[4]
 	for _, p := range h.nodes[:4] {
-		p.view.setMember(fresh.view.self, "")
+		p.view.setMember(starting.view.self, "")
 	}
-	h.nodes[0].table.RecordBrokenResponse(c, ended, time.Now(), time.Now())
-	h.nodes[0].table.RecordCrash(ended, time.Now())
+	h.nodes[0].table.RecordBrokenResponse(c, crashed, time.Now(), time.Now())
+	h.nodes[0].table.RecordCrash(crashed, time.Now())
 	h.nodes[0].send(h.nodes[0].view.plan())
-	if got := fresh.table.Evaluate(c.Content, time.Now()).Status; got != poison.Free {
+	if got := starting.table.Evaluate(c.Content, time.Now()).Status; got != poison.Free {
 		t.Errorf("a non-member received a report: %s", got)
 	}
-	fresh.send(fresh.view.plan())
-	if got := fresh.table.Evaluate(c.Content, time.Now()).Status; got != poison.Suspect {
+	starting.send(starting.view.plan())
+	if got := starting.table.Evaluate(c.Content, time.Now()).Status; got != poison.Suspect {
 		t.Errorf("after its first update it has status %s for the content", got)
 	}
 }
--- a/node/foreign_test.go
+++ b/node/foreign_test.go
@@ -67,11 +67,11 @@
 }
 
 // checkServes checks that lookups are answered.
-func (w *testEnv) checkServes(beside string) {
+func (w *testEnv) checkServes(during string) {
 	w.t.Helper()
 	for range 4 {
 		if a := w.send("GET", "/stock/x", "", nil); a.status != 200 {
-			w.t.Errorf("a lookup was answered %d (%v) beside %s", a.status, a.err, beside)
+			w.t.Errorf("a lookup was answered %d (%v) beside %s", a.status, a.err, during)
 		}
 	}
 }
@@ -104,22 +104,22 @@
 // state or an address they counted as ready, and every second lookup failed.
 func TestInvalidEntriesAreSkipped(t *testing.T) {
 	w, log := newLoggedEnv(t)
-	ghost := runner.Start("ghost", "desk", nil)
-	t.Cleanup(ghost.Close)
+	unlisted := runner.Start("ghost", "desk", nil)
+	t.Cleanup(unlisted.Close)
 	for _, f := range []struct {
 		reason, key string
 		value       []byte
 	}{
 		{"unreadable", "servers/f1", []byte("\x00\xff{")},
 		{"unreadable", "servers/f2", nil},
-		{"missing_field", "servers/f3", targetEntry(ghost, "state", nil)},
-		{"missing_field", "servers/f4", targetEntry(ghost, "address", nil)},
-		{"wrong_type", "servers/f5", targetEntry(ghost, "slots", "many")},
-		{"bad_value", "servers/f6", targetEntry(ghost, "address", "nowhere")},
-		{"unknown_state", "servers/f7", targetEntry(ghost, "state", "resting")},
-		{"unknown_service", "servers/f8", targetEntry(ghost, "service", "somebody's")},
-		{"bad_key", "servers/", targetEntry(ghost, "", "")},
-		{"bad_key", "servers/a/b", targetEntry(ghost, "", "")},
+		{"missing_field", "servers/f3", targetEntry(unlisted, "state", nil)},
+		{"missing_field", "servers/f4", targetEntry(unlisted, "address", nil)},
+		{"wrong_type", "servers/f5", targetEntry(unlisted, "slots", "many")},
+		{"bad_value", "servers/f6", targetEntry(unlisted, "address", "nowhere")},
+		{"unknown_state", "servers/f7", targetEntry(unlisted, "state", "resting")},
+		{"unknown_service", "servers/f8", targetEntry(unlisted, "service", "somebody's")},
+		{"bad_key", "servers/", targetEntry(unlisted, "", "")},
+		{"bad_key", "servers/a/b", targetEntry(unlisted, "", "")},
 		{"bad_key", "keel/members/one", []byte("127.0.0.1:9")},
 		{"bad_value", "keel/members/n9/5f1c0c9e-6f0e-4f0e-9d7c-0b9d1c1f0a11", []byte("a machine")},
 		{"missing_field", "op/config", []byte(`{"version":99}`)},
@@ -139,7 +139,7 @@
 	}
 	w.store.Set("servers/f1", []byte("again"))
 	w.until("a change of it is logged again", func() bool { return log.skipCount("servers/f1", "unreadable") == 2 })
-	w.store.Set("servers/f1", targetEntry(ghost, "", ""))
+	w.store.Set("servers/f1", targetEntry(unlisted, "", ""))
 	w.until("the entry that became valid is used", func() bool { return w.usable("f1") })
 	w.store.Remove("servers/f3")
 	w.store.Remove("servers/f1")
@@ -148,8 +148,8 @@
 	if v := w.node.view.Config().Version; v != int64(w.version) {
 		t.Errorf("configuration %d is in use, want the last valid one", v)
 	}
-	if told := w.node.view.plan().Peers; len(told) != 0 || w.node.view.otherCount() != 0 {
-		t.Errorf("the node sends to %v", told)
+	if peers := w.node.view.plan().Peers; len(peers) != 0 || w.node.view.otherCount() != 0 {
+		t.Errorf("the node sends to %v", peers)
 	}
 }
 
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -106,12 +106,12 @@
 	w, out := newLoggedEnv(t)
 	w.setLimit(map[string]any{"rate_per_s": 7, "burst": 10, "unit": "requests"})
 	w.waitForLimit(w.node, 7)
-	for reason, odd := range map[string]map[string]any{"bad_value": {"rate_per_s": -1}, "wrong_type": {"rate_per_s": "many"}} {
+	for reason, invalid := range map[string]map[string]any{"bad_value": {"rate_per_s": -1}, "wrong_type": {"rate_per_s": "many"}} {
 		before := out.skipCount("op/config", reason)
-		w.setLimit(odd)
+		w.setLimit(invalid)
 		w.until("the fault is logged", func() bool { return out.skipCount("op/config", reason) == before+1 })
 		if rate := w.limitsOf(w.node).Customers[0].Rate; rate != 7 {
-			t.Errorf("%v set the rate %v", odd, rate)
+			t.Errorf("%v set the rate %v", invalid, rate)
 		}
 	}
 	if a := w.send("GET", "/stock/1", "", nil); a.status != http.StatusOK {
--- a/node/notices_test.go
+++ b/node/notices_test.go
@@ -57,8 +57,8 @@
 	limited := w.runners[0]
 	limited.NameLimit("1.4", 1.4)
 	w.generateLoad("/draft/x", stableWindow+6*time.Second, all...)
-	for _, broken := range limited.OverLimit(nodeOfRequest, stableWindow) {
-		t.Fatal(broken)
+	for _, violation := range limited.OverLimit(nodeOfRequest, stableWindow) {
+		t.Fatal(violation)
 	}
 }
 
@@ -123,9 +123,9 @@
 // entry says ready, also after the entry is written again.
 func TestTargetReportingThatItLeavesGetsNothing(t *testing.T) {
 	w := newEnv(t)
-	leaves := w.runners[0]
+	leaving := w.runners[0]
 	relist := func() {
-		entry := leaves.Entry("ready")
+		entry := leaving.Entry("ready")
 		for range 5 {
 			time.Sleep(drainPeriod / 2)
 			w.store.Remove(entry.Key)
@@ -133,11 +133,11 @@
 			w.store.Set(entry.Key, entry.Value)
 		}
 	}
-	leaves.Leave()
+	leaving.Leave()
 	go relist()
 	w.generateLoad("/draft/x", drainPeriod+3*time.Second, loadSpec{w.node, 3, 50 * time.Millisecond}, loadSpec{w.startNode("n1"), 3, 50 * time.Millisecond})
-	for _, broken := range leaves.AfterLeaving(nodeOfRequest, drainPeriod) {
-		t.Fatal(broken)
+	for _, violation := range leaving.AfterLeaving(nodeOfRequest, drainPeriod) {
+		t.Fatal(violation)
 	}
 }
 
@@ -154,14 +154,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newEnv(t)
-			resting := c.shed(w)
-			for _, r := range resting {
+			backingOff := c.shed(w)
+			for _, r := range backingOff {
 				r.ShedFor(3 * time.Second)
 			}
 			w.generateLoad(c.path, 7*time.Second, loadSpec{w.node, 4, 30 * time.Millisecond}, loadSpec{w.startNode("n1"), 2, 30 * time.Millisecond})
-			for _, r := range resting {
-				for _, broken := range r.WithinRest(nodeOfRequest) {
-					t.Fatal(broken)
+			for _, r := range backingOff {
+				for _, violation := range r.WithinRest(nodeOfRequest) {
+					t.Fatal(violation)
 				}
 			}
 		})
--- a/node/poison_test.go
+++ b/node/poison_test.go
@@ -97,12 +97,12 @@
 		t.Run(strings.Trim(path, "/"), func(t *testing.T) {
 			w := newCrashEnv(t, 6)
 			nodes := []*Node{w.node, w.startNode("n1")}
-			last := w.repeat(path, 12, nodes...)
+			lastResponse := w.repeat(path, 12, nodes...)
 			if n := w.crashes(); n > maxCrashes {
 				t.Errorf("%d runners crashed under one request", n)
 			}
-			if last.status != http.StatusServiceUnavailable || last.header.Get("Retry-After") == "" || !strings.Contains(last.body, "not_run") {
-				t.Errorf("the last answer is %d, Retry-After %q: %s", last.status, last.header.Get("Retry-After"), last.body)
+			if lastResponse.status != http.StatusServiceUnavailable || lastResponse.header.Get("Retry-After") == "" || !strings.Contains(lastResponse.body, "not_run") {
+				t.Errorf("the last answer is %d, Retry-After %q: %s", lastResponse.status, lastResponse.header.Get("Retry-After"), lastResponse.body)
 			}
 		})
 	}
@@ -250,30 +250,30 @@
 
 // Guards against a node that gets no datagrams and runs a content that the others refuse: it
 // must apply the verdict in the store before it sees a crash.
-func TestEntryThatHearsNobodyLearnsFromTheStore(t *testing.T) {
+func TestIsolatedNodeAppliesStoredVerdict(t *testing.T) {
 	w := newCrashEnv(t, 6)
-	deaf := w.startNode("n1")
-	w.store.Set(deaf.view.self, encodeMember("127.0.0.1:9", "z1"))
+	isolated := w.startNode("n1")
+	w.store.Set(isolated.view.self, encodeMember("127.0.0.1:9", "z1"))
 	w.store.Set(w.node.view.self, encodeMember("127.0.0.1:9", "z1"))
-	nowhere := func(n *Node) bool {
+	unreachable := func(n *Node) bool {
 		plan := n.view.plan()
 		return len(plan.Peers) == 1 && plan.Peers[0].Address == "127.0.0.1:9"
 	}
-	w.until("neither node's datagrams arrive", func() bool { return nowhere(w.node) && nowhere(deaf) })
+	w.until("neither node's datagrams arrive", func() bool { return unreachable(w.node) && unreachable(isolated) })
 	w.repeat("/match/deadly", 8, w.node)
 	content := poison.Content{Method: "POST", Host: "h.example", URI: "/match/deadly", Customer: "c1", Body: []byte(crashTrigger)}.Fingerprint()
 	w.until("it knows the verdict", func() bool {
-		return deaf.view.verdicts.Table.Evaluate(content, time.Now()).Status == poison.Refused
+		return isolated.view.verdicts.Table.Evaluate(content, time.Now()).Status == poison.Refused
 	})
 	before := w.crashes()
-	if !w.refuses(deaf) || w.crashes() != before {
+	if !w.refuses(isolated) || w.crashes() != before {
 		t.Errorf("it ran the request: %d runners crashed, %d before", w.crashes(), before)
 	}
 }
 
 // Guards against a verdict that is lost with the store's data: nodes must keep refusing the
 // content and write the verdict again.
-func TestLostVerdictIsBackInTheStore(t *testing.T) {
+func TestLostVerdictIsStoredAgain(t *testing.T) {
 	w := newCrashEnv(t, 6)
 	w.repeat("/match/deadly", 8, w.node)
 	w.until("the verdict is in the store", w.hasVerdict)
--- a/node/pulse_test.go
+++ b/node/pulse_test.go
@@ -60,7 +60,7 @@
 		f.Begin(fleet.Instance{ID: "r", Born: 10}, fleet.RequestLoad{Chain: shared, UncachedTokens: 900}, time.Now())
 		return newPeerExchange("n", f, poison.New(nil), &view{customerLimiter: testLimiter(), targetLimiter: testLimiter()}, nil), f
 	}
-	tell := func(from, to *peerExchange) {
+	deliver := func(from, to *peerExchange) {
 		datagrams, err := from.collectUpdate(time.Now()).Datagrams("from", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -69,21 +69,21 @@
 			to.handle(d, netip.AddrPort{})
 		}
 	}
-	knows, known := start()
-	late, told := start()
-	life := fleet.Instance{ID: "r", Born: 20}
-	known.Observe(life)
-	tell(late, knows)
-	if load := known.Occupancy(life); load.Inflight != 0 || load.PrefillTokens != 0 {
+	informed, informedFleet := start()
+	late, lateFleet := start()
+	restarted := fleet.Instance{ID: "r", Born: 20}
+	informedFleet.Observe(restarted)
+	deliver(late, informed)
+	if load := informedFleet.Occupancy(restarted); load.Inflight != 0 || load.PrefillTokens != 0 {
 		t.Errorf("the previous start's load %+v was counted for the new one", load)
 	}
-	tell(knows, late)
-	if !told.IsCurrent(life) || told.Occupancy(life).Inflight != 0 {
-		t.Errorf("after one round the other node has %+v with load %+v", told.Targets("lm"), told.Occupancy(life))
+	deliver(informed, late)
+	if !lateFleet.IsCurrent(restarted) || lateFleet.Occupancy(restarted).Inflight != 0 {
+		t.Errorf("after one round the other node has %+v with load %+v", lateFleet.Targets("lm"), lateFleet.Occupancy(restarted))
 	}
-	caches := []fleet.CacheUpdate{{Address: "r:1", Target: life, Boot: 2, Next: 3}}
-	if got := pulses.DecodeCaches(pulses.EncodeCaches(caches)); len(got) != 1 || got[0].Target != life {
-		t.Errorf("%+v arrived, want the target %+v", got, life)
+	caches := []fleet.CacheUpdate{{Address: "r:1", Target: restarted, Boot: 2, Next: 3}}
+	if got := pulses.DecodeCaches(pulses.EncodeCaches(caches)); len(got) != 1 || got[0].Target != restarted {
+		t.Errorf("%+v arrived, want the target %+v", got, restarted)
 	}
 }
 
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -61,7 +61,7 @@
 func (c *clientConn) send(pieces ...fragment) response {
 	for i, p := range pieces {
 		time.Sleep(p.after)
-		if err := c.ended(); i == 0 && errors.Is(err, syscall.ECONNRESET) {
+		if err := c.closeError(); i == 0 && errors.Is(err, syscall.ECONNRESET) {
 			// The kernel resets connections that wait at a listener when it closes; the node
 			// closes a connection of which it has read nothing without a reset.
 			return response{err: errNotAccepted}
@@ -82,8 +82,8 @@
 	return response{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
-// ended returns how the node ended the connection, nil while it is open.
-func (c *clientConn) ended() error {
+// closeError returns how the node closeError the connection, nil while it is open.
+func (c *clientConn) closeError() error {
 	_ = c.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.in.Peek(1)
 	if isTimeout(err) {
@@ -118,17 +118,17 @@
 	stopped chan struct{}
 	calls   sync.WaitGroup
 
-	mu   sync.Mutex
-	seen map[string][]callResult
+	mu      sync.Mutex
+	results map[string][]callResult
 }
 
 type callResult struct {
-	id     string
-	answer response
+	id       string
+	response response
 }
 
 func (w *testEnv) newStop(n *Node) *plannedStop {
-	return &plannedStop{w: w, node: n, stopped: make(chan struct{}), seen: map[string][]callResult{}}
+	return &plannedStop{w: w, node: n, stopped: make(chan struct{}), results: map[string][]callResult{}}
 }
 
 // begin begins the stop; calls due before it are made at once.
@@ -155,7 +155,7 @@
 func (s *plannedStop) note(what, id string, a response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen[what] = append(s.seen[what], callResult{id, a})
+	s.results[what] = append(s.results[what], callResult{id, a})
 }
 
 // end waits for the node and for all calls.
@@ -168,12 +168,12 @@
 // failed in the same way are reported in one line.
 func (s *plannedStop) check(what string) {
 	s.w.t.Helper()
-	calls, lost, ran := s.seen[what], map[string][]string{}, map[string]bool{}
+	calls, lost, ran := s.results[what], map[string][]string{}, map[string]bool{}
 	for _, r := range s.w.executed(append(slices.Clone(s.w.runners), s.w.plainTargets...)) {
 		ran[r.ID] = true
 	}
 	for _, c := range calls {
-		if fault := checkResponse(c.answer, ran[c.id]); fault != "" {
+		if fault := checkResponse(c.response, ran[c.id]); fault != "" {
 			lost[fault] = append(lost[fault], c.id)
 		}
 	}
@@ -184,8 +184,8 @@
 
 // checkResponse returns what is wrong with the answer to a request, or an empty string.
 func checkResponse(a response, ran bool) string {
-	var said struct{ Outcome string }
-	_ = json.Unmarshal([]byte(a.body), &said)
+	var reported struct{ Outcome string }
+	_ = json.Unmarshal([]byte(a.body), &reported)
 	switch {
 	case errors.Is(a.err, errNotAccepted), a.err == nil && a.status == http.StatusOK:
 		return ""
@@ -194,7 +194,7 @@
 		return strings.SplitN(a.err.Error(), ": read tcp", 2)[0]
 	case a.status == http.StatusBadGateway, a.status == http.StatusGatewayTimeout:
 		return ""
-	case a.status == http.StatusServiceUnavailable && said.Outcome == "not_run" && !ran:
+	case a.status == http.StatusServiceUnavailable && reported.Outcome == "not_run" && !ran:
 		return ""
 	}
 	return fmt.Sprintf("answered %d %q, having run: %v", a.status, a.body, ran)
@@ -253,7 +253,7 @@
 	for _, what := range []string{"a stream in progress", late, halves, again} {
 		s.check(what)
 	}
-	if a := s.seen["a stream in progress"][0].answer; a.body != completeStream() {
+	if a := s.results["a stream in progress"][0].response; a.body != completeStream() {
 		t.Errorf("the stream in progress was answered %d %q (%v)", a.status, a.body, a.err)
 	}
 }
@@ -287,13 +287,13 @@
 		s.check(what)
 	}
 	for what, want := range map[string][]int{once: {502, 504}, unbegun: {502, 504}, long: {503}, short: {200}} {
-		if a := s.seen[what][0].answer; a.err == nil && !slices.Contains(want, a.status) {
+		if a := s.results[what][0].response; a.err == nil && !slices.Contains(want, a.status) {
 			t.Errorf("%s: answered %d %q, want one of %v", what, a.status, a.body, want)
 		} else if errors.Is(a.err, errNotAccepted) {
 			t.Errorf("%s: %v", what, a.err)
 		}
 	}
-	if a := s.seen[short][0].answer; a.err == nil && a.body != completeStream() {
+	if a := s.results[short][0].response; a.err == nil && a.body != completeStream() {
 		t.Errorf("%s: got %q", short, a.body)
 	}
 }
--- a/node/view_test.go
+++ b/node/view_test.go
@@ -67,12 +67,12 @@
 // its history: all runners with older weights were out of use two seconds later.
 func TestListedWeightsAgeFromLastConfirmation(t *testing.T) {
 	v, f := newIdleView()
-	n := &namingHandler{view: v, done: make(chan struct{})}
-	v.follower = follow.New(&compactingStore{}, "", follow.Options{}, n, v.log)
+	handler := &namingHandler{view: v, done: make(chan struct{})}
+	v.follower = follow.New(&compactingStore{}, "", follow.Options{}, handler, v.log)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go v.follower.Run(ctx)
-	<-n.done
+	<-handler.done
 	now := time.Now()
 	if behind := f.StaleFor("m", 1, now); behind > 10*time.Second {
 		t.Errorf("weights 2 count as named %v ago", behind)
