--- a/node/digest_test.go
+++ b/node/digest_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Guards against a group that the others hear nothing of for the two seconds until its crashed
-// relay leaves the list of members.
+// Guards against a group whose state reaches no other group for two seconds, until its crashed
+// relay is removed from the members.
 func TestSecondRelayTakesOver(t *testing.T) {
 	h := newCluster(60)
 	h.round()
@@ -238,9 +238,9 @@
 	h := newCluster(103)
 	c := poison.Case{Content: poison.Content{URI: "/deadly"}.Fingerprint(), Service: "lm", Customer: "c1"}
 	for i := range poison.CrashThreshold {
-		ended := fleet.Instance{ID: fmt.Sprint("ended", i), Born: 1}
-		h.nodes[i].table.RecordBrokenResponse(c, ended, time.Now(), time.Now())
-		h.nodes[i].table.RecordCrash(ended, time.Now())
+		crashed := fleet.Instance{ID: fmt.Sprint("ended", i), Born: 1}
+		h.nodes[i].table.RecordBrokenResponse(c, crashed, time.Now(), time.Now())
+		h.nodes[i].table.RecordCrash(crashed, time.Now())
 	}
 	h.round()
 	h.round()
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -221,15 +221,15 @@
 	if len(at.Seen()) == 0 {
 		at = w.runners[1]
 	}
-	life := fleet.Instance{ID: at.ID, Born: at.Restart()}
+	restarted := fleet.Instance{ID: at.ID, Born: at.Restart()}
 	for _, n := range []*Node{w.node, second} {
-		w.until("the node knows of the restart", func() bool { return n.view.fleet.IsCurrent(life) })
+		w.until("the node knows of the restart", func() bool { return n.view.fleet.IsCurrent(restarted) })
 	}
 	if a := <-streamed; a.err != nil || a.body != completeStream() {
 		t.Errorf("the stream ended as %q (%v)", a.body, a.err)
 	}
 	for _, n := range []*Node{w.node, second} {
-		if load := n.view.fleet.Occupancy(life); load.Inflight != 0 || load.PrefillTokens != 0 {
+		if load := n.view.fleet.Occupancy(restarted); load.Inflight != 0 || load.PrefillTokens != 0 {
 			t.Errorf("the restarted target has load %+v of its previous start", load)
 		}
 	}
@@ -285,13 +285,13 @@
 		w.send("POST", "/draft/x", "", promptHeaders())
 		return slices.ContainsFunc(w.executed(w.runners), func(s runner.Seen) bool { return s.Header.Get("Expect-Version") == "2" })
 	})
-	holders, salts := map[string]bool{}, map[string]bool{}
+	leaders, salts := map[string]bool{}, map[string]bool{}
 	for _, r := range w.runners {
 		if n := len(r.Orders()); n != 1 {
 			t.Errorf("%s got %d orders, want 1", r.ID, n)
 		}
 		for _, o := range r.Orders() {
-			holders[fmt.Sprint(o.Holder, o.Fence)] = true
+			leaders[fmt.Sprint(o.Holder, o.Fence)] = true
 			if o.Precondition == nil || o.Mode != "block" {
 				t.Errorf("order %+v has no precondition or truncates runs", o)
 			}
@@ -300,8 +300,8 @@
 	for _, s := range w.executed(w.runners) {
 		salts[s.Header.Get("Expect-Version")+s.Header.Get("Cache-Salt")] = true
 	}
-	if len(holders) != 1 || len(salts) != 2 {
-		t.Errorf("leaders %v, versions with salts %v, want one and two", holders, salts)
+	if len(leaders) != 1 || len(salts) != 2 {
+		t.Errorf("leaders %v, versions with salts %v, want one and two", leaders, salts)
 	}
 }
 
--- a/node/poison_test.go
+++ b/node/poison_test.go
@@ -286,14 +286,14 @@
 }
 
 // Guards against a crash that is missed because another runner took over the address and
-// answers 421: if a read of cache events met it first, the runner passed for a silent one.
+// answers 421: if a read of cache events reached it first, the runner passed for a silent one.
 func TestOtherRunnerAtAddressCountsAsCrash(t *testing.T) {
 	w := newCrashEnv(t, 2)
 	table := w.node.view.verdicts.Table
 	c := poison.Case{Content: poison.Content{URI: "/replaced"}.Fingerprint(), Service: "lm"}
-	former := runner.Start("gone", "lm", map[string]int64{model: 1})
-	entry := former.EntryAt("ready", w.runners[0].Address())
-	former.Close()
+	previous := runner.Start("gone", "lm", map[string]int64{model: 1})
+	entry := previous.EntryAt("ready", w.runners[0].Address())
+	previous.Close()
 	gone := fleet.Instance{ID: "gone"}
 	table.RecordBrokenResponse(c, gone, time.Now(), time.Now())
 	w.store.Set(entry.Key, entry.Value)
