--- a/node/limits.go
+++ b/node/limits.go
@@ -62,7 +62,7 @@
 	// nodeCountInterval is how often it is compared with the number of members.
 	nodeCountInterval = time.Second
 	// nodeCountLowerDelay is how long there must be fewer members before the count is lowered:
-	// a day's restarts and failures must not remove the number of nodes that will come back.
+	// everyday restarts and failures must not lower it, as those nodes come back.
 	nodeCountLowerDelay = 30 * time.Second
 	// maxNodeCount is the largest count that is accepted from the store.
 	maxNodeCount = 100_000
--- a/node/pulse.go
+++ b/node/pulse.go
@@ -280,10 +280,10 @@
 }
 
 // noteContact records the sender of an update. A new sender has held crash reports sent again,
-// and one that gets no updates from this node is sent a reply. A process serves and sends as soon as it has its configuration, but its peers
-// send it nothing until the store has reported it to them, up to half a second later. A
-// request that crashes targets crashed two more in that time, so the process gets a direct
-// reply.
+// and one that gets no updates from this node is sent a reply. A process serves and sends as
+// soon as it has its configuration, but its peers send it nothing until the store has reported
+// it to them, up to half a second later. A request that crashes targets crashed two more in
+// that time, so the process gets a direct reply.
 func (p *peerExchange) noteContact(name string, from netip.AddrPort, now time.Time) {
 	m, known := p.contacts[name]
 	if !known {
