--- a/node/foreign.go
+++ b/node/foreign.go
@@ -50,15 +50,15 @@
 }
 
 // report logs and counts a skipped entry, once for each of its revisions.
-func (s *skippedEntries) report(e platform.LeftOut) {
+func (s *skippedEntries) report(e platform.RejectedEntry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if revision, ok := s.loggedRevisions[e.Key]; ok && revision == e.Revision {
 		return
 	}
 	s.loggedRevisions[e.Key] = e.Revision
-	s.count.WithLabelValues(string(e.Fault.Reason)).Inc()
-	s.log.WithError(e.Fault).WithFields(logrus.Fields{"event": "entry_left_out", "key": e.Key, "reason": e.Fault.Reason, "revision": e.Revision}).Warn("entry of the store can't be used; left out until it changes")
+	s.count.WithLabelValues(string(e.Err.Reason)).Inc()
+	s.log.WithError(e.Err).WithFields(logrus.Fields{"event": "entry_left_out", "key": e.Key, "reason": e.Err.Reason, "revision": e.Revision}).Warn("entry of the store can't be used; left out until it changes")
 }
 
 // removePending removes a target from the pending ones.
@@ -143,9 +143,9 @@
 }
 
 func (v *view) reportUnknownService(u pendingTarget) {
-	v.skipped.report(platform.LeftOut{
+	v.skipped.report(platform.RejectedEntry{
 		Key: platform.TargetKey(u.target.ID), Revision: u.revision,
-		Fault: &platform.Fault{Reason: platform.UnknownService, Field: u.target.Service},
+		Err: &platform.EntryError{Reason: platform.UnknownService, Field: u.target.Service},
 	})
 }
 
@@ -153,7 +153,7 @@
 func (v *view) activatePending(services map[string]*catalog.Service) {
 	usable, unknown := v.skipped.addServices(services)
 	for _, u := range usable {
-		v.Listed(u.target, u.revision)
+		v.TargetSet(u.target, u.revision)
 	}
 	for _, u := range unknown {
 		v.reportUnknownService(u)
@@ -169,9 +169,9 @@
 	v.fleet.Remove(id)
 }
 
-// LeftOut implements platform.View.
-func (v *view) LeftOut(e platform.LeftOut) {
-	if id, ok := platform.TargetOf(e.Key); ok {
+// EntryRejected implements platform.View.
+func (v *view) EntryRejected(e platform.RejectedEntry) {
+	if id, ok := platform.ParseTargetKey(e.Key); ok {
 		v.skipped.removePending(id)
 		v.removeTarget(id)
 	}
@@ -188,13 +188,13 @@
 // validateMember returns what is wrong with a member's entry, or nil. A member with an
 // unreadable address would be counted among those that share the work, and cause a log line
 // with each update.
-func (v *view) validateMember(key, value string) *platform.Fault {
+func (v *view) validateMember(key, value string) *platform.EntryError {
 	if !isInstanceName(strings.TrimPrefix(key, v.keys.members)) {
-		return &platform.Fault{Reason: platform.BadKey}
+		return &platform.EntryError{Reason: platform.BadKey}
 	}
 	at, err := netip.ParseAddrPort(decodeMember(key, value).Address)
 	if err != nil || at.Port() == 0 {
-		return &platform.Fault{Reason: platform.BadValue, Field: "address", Err: err}
+		return &platform.EntryError{Reason: platform.BadValue, Field: "address", Err: err}
 	}
 	return nil
 }
--- a/node/foreign_test.go
+++ b/node/foreign_test.go
@@ -206,7 +206,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		platform.NewFeed(w.node.view).Reset(listing.Entries, listing.Revision)
+		platform.NewDecoder(w.node.view).Reset(listing.Entries, listing.Revision)
 	}
 	if n := log.skipCount("servers/bad", "unreadable"); n != 1 {
 		t.Errorf("logged %d times", n)
--- a/node/limits.go
+++ b/node/limits.go
@@ -80,7 +80,7 @@
 func (v *view) setNodeCount(value string, revision int64) {
 	n, err := strconv.ParseInt(value, 10, 64)
 	if value != "" && (err != nil || n < 1 || n > maxNodeCount) {
-		v.LeftOut(platform.LeftOut{Key: v.keys.nodeCount, Revision: revision, Fault: &platform.Fault{Reason: platform.BadValue}})
+		v.EntryRejected(platform.RejectedEntry{Key: v.keys.nodeCount, Revision: revision, Err: &platform.EntryError{Reason: platform.BadValue}})
 		return
 	}
 	v.skipped.removeRecord(v.keys.nodeCount)
--- a/node/node.go
+++ b/node/node.go
@@ -32,13 +32,13 @@
 
 // Node is one process of the system.
 type Node struct {
-	settings     platform.Node
+	settings     platform.NodeSettings
 	log          logrus.FieldLogger
 	registry     *prometheus.Registry
 	view         *view
 	session      *lease.Session
 	store        *platform.Store
-	front        *platform.Front
+	front        *platform.Frontend
 	router       *router.Router
 	cacheWatcher *fleet.CacheWatcher
 	exchange     *peerExchange
@@ -47,7 +47,7 @@
 	options      Options
 	limits       limitMetrics
 	targetLimits targetLimitMetrics
-	listeners    struct{ front, ready, metrics *door.Door }
+	listeners    struct{ front, ready, metrics *door.Server }
 	// cancel stops everything that the node runs; cancelDuties stops what it does for the
 	// other nodes: its lease, the leader election, the node count and rollouts.
 	cancel       context.CancelFunc
@@ -111,7 +111,7 @@
 )
 
 // New returns a node that has not been started.
-func New(s platform.Node, o Options, log logrus.FieldLogger) *Node {
+func New(s platform.NodeSettings, o Options, log logrus.FieldLogger) *Node {
 	n := &Node{
 		settings: s,
 		options:  o,
@@ -122,7 +122,7 @@
 		stopping: make(chan struct{}),
 	}
 	n.requestCtx, n.cancelRequests = context.WithCancelCause(context.Background())
-	runners := platform.NewRunners()
+	runners := platform.NewRunnerClient()
 	targets := fleet.New(s.Zone)
 	targets.Disable(o.Disabled)
 	n.session = lease.NewSession(n.store, max(leaseTTL, time.Duration(s.Store.MinLeaseMS)*time.Millisecond), leaseMargin)
@@ -145,10 +145,10 @@
 		n.view.staleAfter = time.Duration(s.Bounds.RevokeMS)*time.Millisecond - staleMargin
 	}
 	n.view.oldWeightsLimit = time.Duration(s.Bounds.VersionMS)*time.Millisecond - oldWeightsMargin
-	n.view.verdicts = verdicts.NewKeeper(n.store, n.registry, log)
+	n.view.verdicts = verdicts.NewSyncer(n.store, n.registry, log)
 	n.view.leaderLock = rollout.NewLeaderLock(n.store, n.session, n.view.keys.leader, n.name, time.Duration(s.Bounds.LeaseMS)*time.Millisecond, log)
 	n.exchange = newPeerExchange(n.name, targets, n.view.verdicts.Table, n.view, log)
-	n.view.verdicts.Seat, n.view.verdicts.Soon = n.view.leaderLock, n.exchange.sendSoon
+	n.view.verdicts.Leadership, n.view.verdicts.PublishNow = n.view.leaderLock, n.exchange.sendSoon
 	n.exchange.relay.outcomes = telemetry.NewCounter(n.registry, "keel_node_digests_total", "Digests between groups of entries: told, passed_on, left_out.", "what")
 	n.view.controller = rollout.NewController(s.Name, rollout.Config{
 		Leadership: n.view.leaderLock, Client: runners, Fleet: targets, Services: n.view.services, Notify: n.exchange.sendSoon, Metrics: rollout.NewMetrics(n.registry),
@@ -158,7 +158,7 @@
 	targets.OnEnd(func(l fleet.Instance) { n.view.verdicts.Table.RecordCrash(l, time.Now()) })
 	watchCounter := telemetry.NewCounter(n.registry, "keel_node_store_watches_total", "Watches of the platform's store, by reason.", "reason")
 	timing := follow.Options{WatchTimeout: watchTimeout, BatchDelay: batchDelay, PeerTimeout: n.view.peerTimeout, OnWatch: func(r follow.Reason) { watchCounter.WithLabelValues(string(r)).Inc() }}
-	n.view.follower = follow.New(n.store, platform.AllKeys, timing, platform.NewFeed(n.view), log)
+	n.view.follower = follow.New(n.store, platform.AllKeys, timing, platform.NewDecoder(n.view), log)
 	n.view.follower.OnChanges(n.exchange.shareChanges)
 	n.registerGauges()
 	n.cacheWatcher = fleet.NewCacheWatcher(targets, runners)
@@ -169,7 +169,7 @@
 		Window: time.Duration(s.Bounds.RetryWindowS * float64(time.Second)),
 	}
 	n.router = router.New(n.view, targets, runners, n.view.verdicts.Table, n.view.customerLimiter, router.NewMetrics(n.registry), log, bounds, retries)
-	n.front = platform.NewFront(n.router, n.view.limits, platform.Watch{
+	n.front = platform.NewFrontend(n.router, n.view.limits, platform.Telemetry{
 		Log:    log,
 		Panics: telemetry.NewCounter(n.registry, "keel_node_panics_total", "Requests whose serving panicked.").WithLabelValues(),
 	})
@@ -242,20 +242,20 @@
 // openListeners opens the client listener last, when nothing else can fail: otherwise clients
 // could connect and send requests to a process that is about to exit.
 func (n *Node) openListeners() error {
-	watch := door.Watch{
+	watch := door.Telemetry{
 		Log:        n.log,
 		Unanswered: telemetry.NewCounter(n.registry, "keel_node_connections_unanswered_total", "Connections closed with a request read and nothing answered.").WithLabelValues(),
 	}
 	var err error
-	if n.listeners.metrics, err = door.Open(n.metricsAddress(), newServer(n.metricsHandler()), watch); err != nil {
+	if n.listeners.metrics, err = door.Start(n.metricsAddress(), newServer(n.metricsHandler()), watch); err != nil {
 		return err
 	}
-	if n.listeners.ready, err = door.Open(n.settings.Listen.Ready, newServer(http.HandlerFunc(n.serveReady)), watch); err != nil {
+	if n.listeners.ready, err = door.Start(n.settings.Listen.Ready, newServer(http.HandlerFunc(n.serveReady)), watch); err != nil {
 		return err
 	}
 	front := newServer(n.front)
 	front.BaseContext = func(net.Listener) context.Context { return n.requestCtx }
-	n.listeners.front, err = door.Open(n.settings.Listen.Front, front, watch)
+	n.listeners.front, err = door.Start(n.settings.Listen.Front, front, watch)
 	return err
 }
 
--- a/node/stop.go
+++ b/node/stop.go
@@ -24,12 +24,12 @@
 )
 
 // stopDeadlines returns the deadlines of a stop that began at the given time.
-func (n *Node) stopDeadlines(begun time.Time) door.Ending {
+func (n *Node) stopDeadlines(begun time.Time) door.ShutdownOptions {
 	end := begun.Add(n.settings.Bounds.Grace() - stopMargin)
-	return door.Ending{
-		Answers:   end.Add(-finalAnswerTime),
-		Interrupt: func() { n.cancelRequests(router.ErrShutdown) },
-		End:       end,
+	return door.ShutdownOptions{
+		AnswerDeadline: end.Add(-finalAnswerTime),
+		Interrupt:      func() { n.cancelRequests(router.ErrShutdown) },
+		Deadline:       end,
 	}
 }
 
@@ -37,26 +37,26 @@
 func (n *Node) Stop() {
 	defer n.cancel()
 	e := n.stopDeadlines(time.Now())
-	notice := time.NewTimer(min(stopNotice, time.Until(e.Answers)))
+	notice := time.NewTimer(min(stopNotice, time.Until(e.AnswerDeadline)))
 	defer notice.Stop()
 	close(n.stopping)
-	n.front.Leave()
+	n.front.Drain()
 	n.log.WithField("event", "stopping").Info("planned stop started")
-	go n.withdraw(e.End)
+	go n.withdraw(e.Deadline)
 	released := make(chan struct{})
-	release := sync.OnceFunc(func() { n.releaseLease(e.End); close(released) })
-	releaseTimer := time.AfterFunc(time.Until(e.Answers), release)
+	release := sync.OnceFunc(func() { n.releaseLease(e.Deadline); close(released) })
+	releaseTimer := time.AfterFunc(time.Until(e.AnswerDeadline), release)
 	defer releaseTimer.Stop()
 	<-notice.C
-	n.router.SetShutdownDeadline(e.Answers)
-	if n.listeners.front.End(e) {
+	n.router.SetShutdownDeadline(e.AnswerDeadline)
+	if n.listeners.front.Shutdown(e) {
 		n.log.WithField("event", "stopped").Info("all requests finished")
 	} else {
 		n.log.WithField("event", "stop_cut").Warn("the grace period ended before all requests had finished")
 	}
 	release()
 	<-released
-	for _, d := range []*door.Door{n.listeners.ready, n.listeners.metrics} {
+	for _, d := range []*door.Server{n.listeners.ready, n.listeners.metrics} {
 		_ = d.Close()
 	}
 }
--- a/node/view.go
+++ b/node/view.go
@@ -31,7 +31,7 @@
 	follower   *follow.Follower
 	leaderLock *rollout.LeaderLock
 	controller *rollout.Controller
-	verdicts   *verdicts.Keeper
+	verdicts   *verdicts.Syncer
 	// staleAfter is the age of the view beyond which API keys are not trusted; 0 means no
 	// bound.
 	staleAfter time.Duration
@@ -78,7 +78,7 @@
 }
 
 func newSystemKeys() systemKeys {
-	return systemKeys{leader: platform.OwnPrefix + "orders", members: platform.OwnPrefix + "members/", nodeCount: platform.OwnPrefix + "entries"}
+	return systemKeys{leader: platform.SystemPrefix + "orders", members: platform.SystemPrefix + "members/", nodeCount: platform.SystemPrefix + "entries"}
 }
 
 // Config implements router.Configuration.
@@ -106,9 +106,9 @@
 	return nil
 }
 
-// Configured implements platform.View. Versions never decrease within the life of the process,
+// ConfigSet implements platform.View. Versions never decrease within the life of the process,
 // even if an older read arrives late.
-func (v *view) Configured(c *catalog.Config) {
+func (v *view) ConfigSet(c *catalog.Config) {
 	if old := v.config.Load(); old != nil && c.Version <= old.Version {
 		return
 	}
@@ -155,8 +155,8 @@
 	return earliest, false
 }
 
-// Named implements platform.View.
-func (v *view) Named(n platform.Naming) {
+// ModelSet implements platform.View.
+func (v *view) ModelSet(n platform.DesiredVersion) {
 	now := time.Now()
 	at, guessed := v.desiredSince(n.Model, n.Listed, now)
 	if !v.fleet.RecordDesired(n.Model, n.Version, at, guessed) {
@@ -183,8 +183,8 @@
 	return oldest
 }
 
-// Listed implements platform.View.
-func (v *view) Listed(r fleet.Target, revision int64) {
+// TargetSet implements platform.View.
+func (v *view) TargetSet(r fleet.Target, revision int64) {
 	if !v.serviceKnown(r, revision) {
 		return
 	}
@@ -209,10 +209,10 @@
 	v.verdicts.Table.RecordCrash(previous, time.Now())
 }
 
-// Gone implements platform.View. Entries expire while the store can't be written, so an entry
+// TargetRemoved implements platform.View. Entries expire while the store can't be written, so an entry
 // that vanishes around an outage says nothing about its target, whose own answers still show
 // its state.
-func (v *view) Gone(id string) {
+func (v *view) TargetRemoved(id string) {
 	v.skipped.removePending(id)
 	v.skipped.removeRecord(platform.TargetKey(id))
 	since, recovered := v.follower.SinceRecovery()
@@ -247,21 +247,21 @@
 	}
 }
 
-// Relisted implements platform.View.
-func (v *view) Relisted(ids map[string]bool) {
+// TargetsListed implements platform.View.
+func (v *view) TargetsListed(ids map[string]bool) {
 	v.skipped.prune(platform.TargetKey(""), func(key string) bool {
-		id, _ := platform.TargetOf(key)
+		id, _ := platform.ParseTargetKey(key)
 		return ids[id]
 	})
 	for _, id := range v.fleet.IDs() {
 		if !ids[id] {
-			v.Gone(id)
+			v.TargetRemoved(id)
 		}
 	}
 }
 
-// Own implements platform.View.
-func (v *view) Own(key, value string, revision int64) {
+// SystemKeySet implements platform.View.
+func (v *view) SystemKeySet(key, value string, revision int64) {
 	if key == v.keys.leader {
 		v.leaderChanged(value, revision)
 		return
@@ -270,7 +270,7 @@
 		v.setNodeCount(value, revision)
 		return
 	}
-	if content, ok, err := verdicts.ContentOf(key); ok {
+	if content, ok, err := verdicts.ParseKey(key); ok {
 		v.receiveVerdict(key, value, revision, content, err)
 		return
 	}
@@ -283,7 +283,7 @@
 		return
 	}
 	if fault := v.validateMember(key, value); fault != nil {
-		v.LeftOut(platform.LeftOut{Key: key, Revision: revision, Fault: fault})
+		v.EntryRejected(platform.RejectedEntry{Key: key, Revision: revision, Err: fault})
 		return
 	}
 	v.setMember(key, value)
@@ -294,14 +294,14 @@
 func (v *view) receiveVerdict(key, value string, revision int64, content poison.Fingerprint, err error) {
 	if err == nil && value == "" {
 		v.skipped.removeRecord(key)
-		v.verdicts.Gone(content)
+		v.verdicts.MarkMissing(content)
 		return
 	}
 	if err == nil {
-		err = v.verdicts.Read(content, []byte(value), revision)
+		err = v.verdicts.ApplyStored(content, []byte(value), revision)
 	}
 	if err != nil {
-		v.LeftOut(platform.LeftOut{Key: key, Revision: revision, Fault: &platform.Fault{Reason: platform.BadValue, Err: err}})
+		v.EntryRejected(platform.RejectedEntry{Key: key, Revision: revision, Err: &platform.EntryError{Reason: platform.BadValue, Err: err}})
 		return
 	}
 	v.skipped.removeRecord(key)
@@ -310,7 +310,7 @@
 // leaderChanged applies the stored leader; an empty value means that there is none.
 func (v *view) leaderChanged(leader string, revision int64) {
 	if leader != "" && !isInstanceName(leader) {
-		v.LeftOut(platform.LeftOut{Key: v.keys.leader, Revision: revision, Fault: &platform.Fault{Reason: platform.BadValue}})
+		v.EntryRejected(platform.RejectedEntry{Key: v.keys.leader, Revision: revision, Err: &platform.EntryError{Reason: platform.BadValue}})
 		return
 	}
 	v.skipped.removeRecord(v.keys.leader)
@@ -354,10 +354,10 @@
 	v.log.WithFields(logrus.Fields{"event": "grouped", "group": p.group, "groups": p.groups, "watches": p.watches}).Info("position among the groups changed")
 }
 
-// OwnRelisted implements platform.View.
-func (v *view) OwnRelisted(keys map[string]bool, revision int64) {
-	v.skipped.prune(platform.OwnPrefix, func(key string) bool { return keys[key] })
-	v.verdicts.Relisted(keys)
+// SystemKeysListed implements platform.View.
+func (v *view) SystemKeysListed(keys map[string]bool, revision int64) {
+	v.skipped.prune(platform.SystemPrefix, func(key string) bool { return keys[key] })
+	v.verdicts.Reconcile(keys)
 	if !keys[v.keys.leader] {
 		v.leaderLock.Observe("", revision)
 	}
--- a/node/view_test.go
+++ b/node/view_test.go
@@ -45,7 +45,7 @@
 
 func (n *namingHandler) Reset([]store.Entry, int64) {
 	n.listed++
-	n.view.Named(platform.Naming{Model: "m", Version: n.listed, Listed: true})
+	n.view.ModelSet(platform.DesiredVersion{Model: "m", Version: n.listed, Listed: true})
 	if n.listed == 2 {
 		close(n.done)
 	}
@@ -86,7 +86,7 @@
 // them 0.26 s late, and requests started on older weights after the bound.
 func TestWeightsAgeIncludesChangeLag(t *testing.T) {
 	v, f := newIdleView()
-	v.Named(platform.Naming{Model: "m", Version: 2})
+	v.ModelSet(platform.DesiredVersion{Model: "m", Version: 2})
 	if behind := f.StaleFor("m", 1, time.Now()); behind < batchDelay {
 		t.Errorf("weights received just now count as named %v ago; the batch delay alone is %v", behind, batchDelay)
 	}
