--- a/node/foreign.go
+++ b/node/foreign.go
@@ -14,16 +14,16 @@
 	"acaciakeel/telemetry"
 )
 
-// skippedEntries are the entries of the store that can't be used: entries of other writers
+// rejectedEntries tracks the entries of the store that can't be used: entries of other writers
 // that can't be decoded, and targets of services that no configuration has named yet. If they
 // were accepted, requests would be sent to targets that can't serve them; if a whole read were
 // rejected because of one, all valid entries in it would be lost.
-type skippedEntries struct {
+type rejectedEntries struct {
 	log   logrus.FieldLogger
 	count *prometheus.CounterVec
 
 	mu sync.Mutex
-	// loggedRevisions is the revision at which each skipped entry was logged, so that a
+	// loggedRevisions is the revision at which each rejected entry was logged, so that a
 	// listing that finds it again does not log it again.
 	loggedRevisions map[string]int64
 	// knownServices are the services named by any configuration since the process started; nil
@@ -40,8 +40,8 @@
 	revision int64
 }
 
-func newSkippedEntries(r *prometheus.Registry, log logrus.FieldLogger) *skippedEntries {
-	return &skippedEntries{
+func newRejectedEntries(r *prometheus.Registry, log logrus.FieldLogger) *rejectedEntries {
+	return &rejectedEntries{
 		log:             log,
 		count:           telemetry.NewCounter(r, "keel_node_entries_left_out_total", "Entries of the store left out, by reason.", "reason"),
 		loggedRevisions: map[string]int64{},
@@ -49,8 +49,8 @@
 	}
 }
 
-// report logs and counts a skipped entry, once for each of its revisions.
-func (s *skippedEntries) report(e platform.RejectedEntry) {
+// report logs and counts a rejected entry, once for each of its revisions.
+func (s *rejectedEntries) report(e platform.RejectedEntry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if revision, ok := s.loggedRevisions[e.Key]; ok && revision == e.Revision {
@@ -62,21 +62,21 @@
 }
 
 // removePending removes a target from the pending ones.
-func (s *skippedEntries) removePending(id string) {
+func (s *rejectedEntries) removePending(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.pending, id)
 }
 
 // removeRecord removes the record of an entry that was deleted or has become valid.
-func (s *skippedEntries) removeRecord(key string) {
+func (s *rejectedEntries) removeRecord(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.loggedRevisions, key)
 }
 
 // prune removes the records of entries under a prefix that a listing did not contain.
-func (s *skippedEntries) prune(prefix string, listed func(key string) bool) {
+func (s *rejectedEntries) prune(prefix string, listed func(key string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key := range s.loggedRevisions {
@@ -94,7 +94,7 @@
 // holdPending stores a target's entry and returns waiting as true if its service is not known
 // yet. judged is true if a configuration has been received, so that the service is missing
 // from it.
-func (s *skippedEntries) holdPending(r fleet.Target, revision int64) (waiting, judged bool) {
+func (s *rejectedEntries) holdPending(r fleet.Target, revision int64) (waiting, judged bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.knownServices[r.Service] {
@@ -106,7 +106,7 @@
 
 // addServices records the services of a configuration. It returns the pending targets that
 // became usable, and those whose service is still unknown.
-func (s *skippedEntries) addServices(services map[string]*catalog.Service) (usable, unknown []pendingTarget) {
+func (s *rejectedEntries) addServices(services map[string]*catalog.Service) (usable, unknown []pendingTarget) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.knownServices == nil {
@@ -129,10 +129,10 @@
 // serviceKnown reports whether a configuration names the target's service. If not, the target
 // is removed and its entry is kept until one does.
 func (v *view) serviceKnown(r fleet.Target, revision int64) bool {
-	waiting, judged := v.skipped.holdPending(r, revision)
+	waiting, judged := v.rejected.holdPending(r, revision)
 	if !waiting {
-		v.skipped.removePending(r.ID)
-		v.skipped.removeRecord(platform.TargetKey(r.ID))
+		v.rejected.removePending(r.ID)
+		v.rejected.removeRecord(platform.TargetKey(r.ID))
 		return true
 	}
 	v.removeTarget(r.ID)
@@ -143,7 +143,7 @@
 }
 
 func (v *view) reportUnknownService(u pendingTarget) {
-	v.skipped.report(platform.RejectedEntry{
+	v.rejected.report(platform.RejectedEntry{
 		Key: platform.TargetKey(u.target.ID), Revision: u.revision,
 		Err: &platform.EntryError{Reason: platform.UnknownService, Field: u.target.Service},
 	})
@@ -151,7 +151,7 @@
 
 // activatePending adds the targets whose services a new configuration names.
 func (v *view) activatePending(services map[string]*catalog.Service) {
-	usable, unknown := v.skipped.addServices(services)
+	usable, unknown := v.rejected.addServices(services)
 	for _, u := range usable {
 		v.TargetSet(u.target, u.revision)
 	}
@@ -169,10 +169,10 @@
 	v.fleet.Remove(id)
 }
 
-// EntryRejected implements platform.View.
+// EntryRejected implements platform.StateHandler.
 func (v *view) EntryRejected(e platform.RejectedEntry) {
 	if id, ok := platform.ParseTargetKey(e.Key); ok {
-		v.skipped.removePending(id)
+		v.rejected.removePending(id)
 		v.removeTarget(id)
 	}
 	if strings.HasPrefix(e.Key, v.keys.members) {
@@ -182,7 +182,7 @@
 		v.leaderLock.ObserveForeign(e.Revision)
 		v.controller.Wake()
 	}
-	v.skipped.report(e)
+	v.rejected.report(e)
 }
 
 // validateMember returns what is wrong with a member's entry, or nil. A member with an
--- a/node/foreign_test.go
+++ b/node/foreign_test.go
@@ -30,8 +30,8 @@
 	return l.out.Write(line)
 }
 
-// skipCount returns how often the log reports that a key was left out for a reason.
-func (l *logBuffer) skipCount(key, reason string) int {
+// rejectionCount returns how often the log reports that a key was rejected for a reason.
+func (l *logBuffer) rejectionCount(key, reason string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	said := regexp.MustCompile(fmt.Sprintf(`event=entry_left_out key=%s reason=%s revision=\d+`, regexp.QuoteMeta(key), reason))
@@ -81,10 +81,10 @@
 	return w.node.view.fleet.Available(fleet.Instance{ID: id})
 }
 
-// skippedMetric returns the metric of entries left out for a reason.
-func (w *testEnv) skippedMetric(reason string) string {
+// rejectedMetric returns the metric of entries rejected for a reason.
+func (w *testEnv) rejectedMetric(reason string) string {
 	w.t.Helper()
-	resp, err := http.Get("http://" + w.node.listeners.metrics.Address() + "/metrics")
+	resp, err := http.Get("http://" + w.node.servers.metrics.Address() + "/metrics")
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 
 // Guards against requests to targets whose entries other writers wrote wrongly: without a
 // state or an address they counted as ready, and every second lookup failed.
-func TestInvalidEntriesAreSkipped(t *testing.T) {
+func TestInvalidEntriesAreRejected(t *testing.T) {
 	w, log := newLoggedEnv(t)
 	unlisted := runner.Start("ghost", "desk", nil)
 	t.Cleanup(unlisted.Close)
@@ -126,19 +126,19 @@
 		{"wrong_type", "op/version/" + model, []byte(`{"model":"m","version":"two"}`)},
 	} {
 		w.store.Set(f.key, f.value)
-		w.until(f.key+" is left out", func() bool { return log.skipCount(f.key, f.reason) == 1 })
+		w.until(f.key+" is left out", func() bool { return log.rejectionCount(f.key, f.reason) == 1 })
 		w.checkServes(f.key)
 		if id, ok := strings.CutPrefix(f.key, "servers/"); ok && w.usable(id) {
 			t.Errorf("%s is used as a target", f.key)
 		}
 	}
 	for reason, want := range map[string]string{"unreadable": "2", "bad_key": "3", "unknown_state": "1"} {
-		if got := w.skippedMetric(reason); got != want {
+		if got := w.rejectedMetric(reason); got != want {
 			t.Errorf("%s was counted %q times, want %s", reason, got, want)
 		}
 	}
 	w.store.Set("servers/f1", []byte("again"))
-	w.until("a change of it is logged again", func() bool { return log.skipCount("servers/f1", "unreadable") == 2 })
+	w.until("a change of it is logged again", func() bool { return log.rejectionCount("servers/f1", "unreadable") == 2 })
 	w.store.Set("servers/f1", targetEntry(unlisted, "", ""))
 	w.until("the entry that became valid is used", func() bool { return w.usable("f1") })
 	w.store.Remove("servers/f3")
@@ -162,7 +162,7 @@
 	for turn, bad := range [][]byte{[]byte("spoilt"), targetEntry(desk, "zone", 7), targetEntry(desk, "service", "nobody's")} {
 		w.store.Set("servers/"+desk.ID, bad)
 		reason := []string{"unreadable", "wrong_type", "unknown_service"}[turn]
-		w.until("the entry is left out", func() bool { return log.skipCount("servers/"+desk.ID, reason) == 1 })
+		w.until("the entry is left out", func() bool { return log.rejectionCount("servers/"+desk.ID, reason) == 1 })
 		before := len(desk.Seen())
 		w.checkServes(reason)
 		if len(desk.Seen()) != before || w.usable(desk.ID) {
@@ -180,10 +180,10 @@
 	early := runner.Start("early", "later", nil)
 	t.Cleanup(early.Close)
 	w.store.Set(early.Entry("ready").Key, early.Entry("ready").Value)
-	w.until("it is left out", func() bool { return log.skipCount("servers/early", "unknown_service") == 1 })
+	w.until("it is left out", func() bool { return log.rejectionCount("servers/early", "unknown_service") == 1 })
 	w.configure(goodKey)
 	w.until("a configuration that does not name it is applied", func() bool { return w.node.view.Config().Version == int64(w.version) })
-	if n := log.skipCount("servers/early", "unknown_service"); n != 1 {
+	if n := log.rejectionCount("servers/early", "unknown_service"); n != 1 {
 		t.Errorf("logged %d times for one change of the entry", n)
 	}
 	w.lookupService = "later"
@@ -200,7 +200,7 @@
 func TestRelistingLogsNothingTwice(t *testing.T) {
 	w, log := newLoggedEnv(t)
 	w.store.Set("servers/bad", []byte("spoilt"))
-	w.until("it is left out", func() bool { return log.skipCount("servers/bad", "unreadable") == 1 })
+	w.until("it is left out", func() bool { return log.rejectionCount("servers/bad", "unreadable") == 1 })
 	for range 2 {
 		listing, err := w.node.store.List(t.Context(), platform.AllKeys)
 		if err != nil {
@@ -208,7 +208,7 @@
 		}
 		platform.NewDecoder(w.node.view).Reset(listing.Entries, listing.Revision)
 	}
-	if n := log.skipCount("servers/bad", "unreadable"); n != 1 {
+	if n := log.rejectionCount("servers/bad", "unreadable"); n != 1 {
 		t.Errorf("logged %d times", n)
 	}
 	w.checkServes("a listing")
@@ -224,7 +224,7 @@
 	for i, bytes := range [][]byte{[]byte("somebody"), {}} {
 		w.store.Set("keel/orders", bytes)
 		reason := []string{"bad_value", "unreadable"}[i]
-		w.until("it is left out", func() bool { return log.skipCount("keel/orders", reason) == 1 })
+		w.until("it is left out", func() bool { return log.rejectionCount("keel/orders", reason) == 1 })
 		w.store.Set("op/version/"+model, []byte(fmt.Sprintf(`{"model":"m","version":%d}`, i+2)))
 		w.until("the runners have the new weights", func() bool {
 			return len(w.runners[0].Orders()) > i && len(w.runners[1].Orders()) > i
--- a/node/limits.go
+++ b/node/limits.go
@@ -83,7 +83,7 @@
 		v.EntryRejected(platform.RejectedEntry{Key: v.keys.nodeCount, Revision: revision, Err: &platform.EntryError{Reason: platform.BadValue}})
 		return
 	}
-	v.skipped.removeRecord(v.keys.nodeCount)
+	v.rejected.removeRecord(v.keys.nodeCount)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.nodeCount.stored, v.nodeCount.revision = n, revision
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -26,7 +26,7 @@
 
 func (w *testEnv) limitsOf(n *Node) quota.State {
 	w.t.Helper()
-	resp, err := http.Get("http://" + n.listeners.metrics.Address() + "/limits")
+	resp, err := http.Get("http://" + n.servers.metrics.Address() + "/limits")
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -107,9 +107,9 @@
 	w.setLimit(map[string]any{"rate_per_s": 7, "burst": 10, "unit": "requests"})
 	w.waitForLimit(w.node, 7)
 	for reason, invalid := range map[string]map[string]any{"bad_value": {"rate_per_s": -1}, "wrong_type": {"rate_per_s": "many"}} {
-		before := out.skipCount("op/config", reason)
+		before := out.rejectionCount("op/config", reason)
 		w.setLimit(invalid)
-		w.until("the fault is logged", func() bool { return out.skipCount("op/config", reason) == before+1 })
+		w.until("the fault is logged", func() bool { return out.rejectionCount("op/config", reason) == before+1 })
 		if rate := w.limitsOf(w.node).Customers[0].Rate; rate != 7 {
 			t.Errorf("%v set the rate %v", invalid, rate)
 		}
--- a/node/node.go
+++ b/node/node.go
@@ -38,7 +38,7 @@
 	view         *view
 	session      *lease.Session
 	store        *platform.Store
-	front        *platform.Frontend
+	frontend     *platform.Frontend
 	router       *router.Router
 	cacheWatcher *fleet.CacheWatcher
 	exchange     *peerExchange
@@ -47,7 +47,7 @@
 	options      Options
 	limits       limitMetrics
 	targetLimits targetLimitMetrics
-	listeners    struct{ front, ready, metrics *door.Server }
+	servers      struct{ front, ready, metrics *door.Server }
 	// cancel stops everything that the node runs; cancelDuties stops what it does for the
 	// other nodes: its lease, the leader election, the node count and rollouts.
 	cancel       context.CancelFunc
@@ -132,7 +132,7 @@
 		members:       map[string]peering.Member{},
 		grace:         s.Bounds.Grace(),
 		removalTimers: map[string]*time.Timer{},
-		skipped:       newSkippedEntries(n.registry, log),
+		rejected:      newRejectedEntries(n.registry, log),
 		keys:          newSystemKeys(),
 	}
 	n.view.self = n.view.keys.members + n.name
@@ -169,7 +169,7 @@
 		Window: time.Duration(s.Bounds.RetryWindowS * float64(time.Second)),
 	}
 	n.router = router.New(n.view, targets, runners, n.view.verdicts.Table, n.view.customerLimiter, router.NewMetrics(n.registry), log, bounds, retries)
-	n.front = platform.NewFrontend(n.router, n.view.limits, platform.Telemetry{
+	n.frontend = platform.NewFrontend(n.router, n.view.limits, platform.Telemetry{
 		Log:    log,
 		Panics: telemetry.NewCounter(n.registry, "keel_node_panics_total", "Requests whose serving panicked.").WithLabelValues(),
 	})
@@ -218,7 +218,7 @@
 	if err := n.exchange.listen(n.exchangeAddress()); err != nil {
 		return err
 	}
-	if err := n.openListeners(); err != nil {
+	if err := n.startServers(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -235,35 +235,35 @@
 	go n.session.Run(duties, n.onNewLease)
 	go n.view.controller.Run(duties)
 	go n.runElection(duties)
-	n.log.WithFields(logrus.Fields{"event": "started", "node": n.settings.Name, "zone": n.settings.Zone, "listen": n.listeners.front.Address()}).Info("serving")
+	n.log.WithFields(logrus.Fields{"event": "started", "node": n.settings.Name, "zone": n.settings.Zone, "listen": n.servers.front.Address()}).Info("serving")
 	return nil
 }
 
-// openListeners opens the client listener last, when nothing else can fail: otherwise clients
+// startServers starts the client server last, when nothing else can fail: otherwise clients
 // could connect and send requests to a process that is about to exit.
-func (n *Node) openListeners() error {
+func (n *Node) startServers() error {
 	watch := door.Telemetry{
 		Log:        n.log,
 		Unanswered: telemetry.NewCounter(n.registry, "keel_node_connections_unanswered_total", "Connections closed with a request read and nothing answered.").WithLabelValues(),
 	}
 	var err error
-	if n.listeners.metrics, err = door.Start(n.metricsAddress(), newServer(n.metricsHandler()), watch); err != nil {
+	if n.servers.metrics, err = door.Start(n.metricsAddress(), newServer(n.metricsHandler()), watch); err != nil {
 		return err
 	}
-	if n.listeners.ready, err = door.Start(n.settings.Listen.Ready, newServer(http.HandlerFunc(n.serveReady)), watch); err != nil {
+	if n.servers.ready, err = door.Start(n.settings.Listen.Ready, newServer(http.HandlerFunc(n.serveReady)), watch); err != nil {
 		return err
 	}
-	front := newServer(n.front)
+	front := newServer(n.frontend)
 	front.BaseContext = func(net.Listener) context.Context { return n.requestCtx }
-	n.listeners.front, err = door.Start(n.settings.Listen.Front, front, watch)
+	n.servers.front, err = door.Start(n.settings.Listen.Front, front, watch)
 	return err
 }
 
 // FrontAddress returns the address at which the started node serves clients.
-func (n *Node) FrontAddress() string { return n.listeners.front.Address() }
+func (n *Node) FrontAddress() string { return n.servers.front.Address() }
 
 // ReadyAddress returns the address of the readiness probe.
-func (n *Node) ReadyAddress() string { return n.listeners.ready.Address() }
+func (n *Node) ReadyAddress() string { return n.servers.ready.Address() }
 
 func (n *Node) metricsAddress() string {
 	return net.JoinHostPort(n.settings.IP, strconv.Itoa(n.options.MetricsPort))
--- a/node/poison_test.go
+++ b/node/poison_test.go
@@ -210,17 +210,17 @@
 }
 
 // Guards against a verdict that another writer wrote, or that can't be read, taking effect: it
-// must be left out and logged.
-func TestInvalidVerdictIsSkipped(t *testing.T) {
+// must be rejected and logged.
+func TestInvalidVerdictIsRejected(t *testing.T) {
 	w := newCrashEnv(t, 2)
 	content := poison.Content{Method: "POST", Host: "h.example", URI: "/match/sound", Customer: "c1", Body: []byte("sound")}.Fingerprint()
 	w.store.Set(platform.VerdictPrefix+content.String(), []byte(`{"until_unix_ms":99999999999999,"ended":[]}`))
 	w.store.Set(platform.VerdictPrefix+"zz", []byte(`{}`))
 	w.store.Set("keel/mark", []byte("seen"))
 	w.until("both are left out", func() bool {
-		w.node.view.skipped.mu.Lock()
-		defer w.node.view.skipped.mu.Unlock()
-		return len(w.node.view.skipped.loggedRevisions) >= 2
+		w.node.view.rejected.mu.Lock()
+		defer w.node.view.rejected.mu.Unlock()
+		return len(w.node.view.rejected.loggedRevisions) >= 2
 	})
 	if a := w.send("POST", "/match/sound", "sound", promptHeaders()); a.status != http.StatusOK {
 		t.Errorf("answered %d: %s", a.status, a.body)
--- a/node/start_test.go
+++ b/node/start_test.go
@@ -44,7 +44,7 @@
 				n.cancel()
 				t.Fatal("the node started with a port in use")
 			}
-			if n.listeners.front != nil {
+			if n.servers.front != nil {
 				t.Errorf("the front is open at %s", n.FrontAddress())
 			}
 		})
--- a/node/stop.go
+++ b/node/stop.go
@@ -40,7 +40,7 @@
 	notice := time.NewTimer(min(stopNotice, time.Until(e.AnswerDeadline)))
 	defer notice.Stop()
 	close(n.stopping)
-	n.front.Drain()
+	n.frontend.Drain()
 	n.log.WithField("event", "stopping").Info("planned stop started")
 	go n.withdraw(e.Deadline)
 	released := make(chan struct{})
@@ -49,14 +49,14 @@
 	defer releaseTimer.Stop()
 	<-notice.C
 	n.router.SetShutdownDeadline(e.AnswerDeadline)
-	if n.listeners.front.Shutdown(e) {
+	if n.servers.front.Shutdown(e) {
 		n.log.WithField("event", "stopped").Info("all requests finished")
 	} else {
 		n.log.WithField("event", "stop_cut").Warn("the grace period ended before all requests had finished")
 	}
 	release()
 	<-released
-	for _, d := range []*door.Server{n.listeners.ready, n.listeners.metrics} {
+	for _, d := range []*door.Server{n.servers.ready, n.servers.metrics} {
 		_ = d.Close()
 	}
 }
--- a/node/view.go
+++ b/node/view.go
@@ -24,7 +24,7 @@
 )
 
 // view holds what the node knows of the configuration, the targets and the other nodes. It
-// implements platform.View and router.Configuration.
+// implements platform.StateHandler and router.ConfigSource.
 type view struct {
 	fleet      *fleet.Fleet
 	log        logrus.FieldLogger
@@ -65,8 +65,8 @@
 	// removalTimers hold the targets whose entries vanished around an outage of the store,
 	// with the timers that remove them.
 	removalTimers map[string]*time.Timer
-	// skipped are the store's entries that can't be used.
-	skipped *skippedEntries
+	// rejected are the store's entries that can't be used.
+	rejected *rejectedEntries
 }
 
 // systemKeys are the system's own keys in the store.
@@ -81,12 +81,12 @@
 	return systemKeys{leader: platform.SystemPrefix + "orders", members: platform.SystemPrefix + "members/", nodeCount: platform.SystemPrefix + "entries"}
 }
 
-// Config implements router.Configuration.
+// Config implements router.ConfigSource.
 func (v *view) Config() *catalog.Config {
 	return v.config.Load()
 }
 
-// Fresh implements router.Configuration.
+// Fresh implements router.ConfigSource.
 func (v *view) Fresh() bool {
 	age, ok := v.follower.Age()
 	return ok && (v.staleAfter == 0 || age < v.staleAfter)
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// ConfigSet implements platform.View. Versions never decrease within the life of the process,
+// ConfigSet implements platform.StateHandler. Versions never decrease while the process runs,
 // even if an older read arrives late.
 func (v *view) ConfigSet(c *catalog.Config) {
 	if old := v.config.Load(); old != nil && c.Version <= old.Version {
@@ -155,7 +155,7 @@
 	return earliest, false
 }
 
-// ModelSet implements platform.View.
+// ModelSet implements platform.StateHandler.
 func (v *view) ModelSet(n platform.DesiredVersion) {
 	now := time.Now()
 	at, guessed := v.desiredSince(n.Model, n.Listed, now)
@@ -183,7 +183,7 @@
 	return oldest
 }
 
-// TargetSet implements platform.View.
+// TargetSet implements platform.StateHandler.
 func (v *view) TargetSet(r fleet.Target, revision int64) {
 	if !v.serviceKnown(r, revision) {
 		return
@@ -209,12 +209,12 @@
 	v.verdicts.Table.RecordCrash(previous, time.Now())
 }
 
-// TargetRemoved implements platform.View. Entries expire while the store can't be written, so an entry
-// that vanishes around an outage says nothing about its target, whose own answers still show
-// its state.
+// TargetRemoved implements platform.StateHandler. Entries expire while the store can't be
+// written, so an entry that vanishes around an outage says nothing about its target, whose own
+// responses still show its state.
 func (v *view) TargetRemoved(id string) {
-	v.skipped.removePending(id)
-	v.skipped.removeRecord(platform.TargetKey(id))
+	v.rejected.removePending(id)
+	v.rejected.removeRecord(platform.TargetKey(id))
 	since, recovered := v.follower.SinceRecovery()
 	if !recovered || since >= recoveryGrace {
 		v.removeUnlisted(id)
@@ -247,9 +247,9 @@
 	}
 }
 
-// TargetsListed implements platform.View.
+// TargetsListed implements platform.StateHandler.
 func (v *view) TargetsListed(ids map[string]bool) {
-	v.skipped.prune(platform.TargetKey(""), func(key string) bool {
+	v.rejected.prune(platform.TargetKey(""), func(key string) bool {
 		id, _ := platform.ParseTargetKey(key)
 		return ids[id]
 	})
@@ -260,7 +260,7 @@
 	}
 }
 
-// SystemKeySet implements platform.View.
+// SystemKeySet implements platform.StateHandler.
 func (v *view) SystemKeySet(key, value string, revision int64) {
 	if key == v.keys.leader {
 		v.leaderChanged(value, revision)
@@ -278,7 +278,7 @@
 		return
 	}
 	if value == "" {
-		v.skipped.removeRecord(key)
+		v.rejected.removeRecord(key)
 		v.setMember(key, "")
 		return
 	}
@@ -293,7 +293,7 @@
 // deleted.
 func (v *view) receiveVerdict(key, value string, revision int64, content poison.Fingerprint, err error) {
 	if err == nil && value == "" {
-		v.skipped.removeRecord(key)
+		v.rejected.removeRecord(key)
 		v.verdicts.MarkMissing(content)
 		return
 	}
@@ -304,7 +304,7 @@
 		v.EntryRejected(platform.RejectedEntry{Key: key, Revision: revision, Err: &platform.EntryError{Reason: platform.BadValue, Err: err}})
 		return
 	}
-	v.skipped.removeRecord(key)
+	v.rejected.removeRecord(key)
 }
 
 // leaderChanged applies the stored leader; an empty value means that there is none.
@@ -313,7 +313,7 @@
 		v.EntryRejected(platform.RejectedEntry{Key: v.keys.leader, Revision: revision, Err: &platform.EntryError{Reason: platform.BadValue}})
 		return
 	}
-	v.skipped.removeRecord(v.keys.leader)
+	v.rejected.removeRecord(v.keys.leader)
 	v.leaderLock.Observe(leader, revision)
 	v.controller.Wake()
 }
@@ -354,9 +354,9 @@
 	v.log.WithFields(logrus.Fields{"event": "grouped", "group": p.group, "groups": p.groups, "watches": p.watches}).Info("position among the groups changed")
 }
 
-// SystemKeysListed implements platform.View.
+// SystemKeysListed implements platform.StateHandler.
 func (v *view) SystemKeysListed(keys map[string]bool, revision int64) {
-	v.skipped.prune(platform.SystemPrefix, func(key string) bool { return keys[key] })
+	v.rejected.prune(platform.SystemPrefix, func(key string) bool { return keys[key] })
 	v.verdicts.Reconcile(keys)
 	if !keys[v.keys.leader] {
 		v.leaderLock.Observe("", revision)
