--- a/node/foreign.go
+++ b/node/foreign.go
@@ -14,184 +14,185 @@
 	"acaciakeel/telemetry"
 )
 
-// foreign are the entries of the store that name nothing to use: those of other
-// writers that can't be decoded, and those of services that no configuration has
-// named yet. Taken as they are, one of them would get requests that can't be
-// served there; refused as a whole, one would hide all entries beside it.
-type foreign struct {
+// rejectedEntries tracks the entries of the store that can't be used: entries of other writers
+// that can't be decoded, and targets of services that no configuration has named yet. If they
+// were accepted, requests would be sent to targets that can't serve them; if a whole read were
+// rejected because of one, all valid entries in it would be lost.
+type rejectedEntries struct {
 	log   logrus.FieldLogger
 	count *prometheus.CounterVec
 
 	mu sync.Mutex
-	// said is the revision of each entry at which it was left out, so that a
-	// listing that finds it again says nothing new.
-	said map[string]int64
-	// named are the services that configurations have named in the life of the
-	// process; nil before the first. One that is named no more keeps its targets:
-	// no route leads there, but requests under way may still be sent again.
-	named map[string]bool
-	// unnamed are the targets of the other services, by id.
-	unnamed map[string]unnamed
+	// loggedRevisions is the revision at which each rejected entry was logged, so that a
+	// listing that finds it again does not log it again.
+	loggedRevisions map[string]int64
+	// knownServices are the services named by any configuration since the process started; nil
+	// before the first. A service that is no longer named keeps its targets: no route leads
+	// there, but requests in progress may still be retried there.
+	knownServices map[string]bool
+	// pending are the targets of services that are not known yet, by id.
+	pending map[string]pendingTarget
 }
 
-// unnamed is a sound entry that waits for a configuration to name its service.
-type unnamed struct {
-	runner   fleet.Target
+// pendingTarget is a valid entry whose service no configuration has named yet.
+type pendingTarget struct {
+	target   fleet.Target
 	revision int64
 }
 
-func newForeign(r *prometheus.Registry, log logrus.FieldLogger) *foreign {
-	return &foreign{
-		log:     log,
-		count:   telemetry.NewCounter(r, "keel_node_entries_left_out_total", "Entries of the store left out, by reason.", "reason"),
-		said:    map[string]int64{},
-		unnamed: map[string]unnamed{},
+func newRejectedEntries(r *prometheus.Registry, log logrus.FieldLogger) *rejectedEntries {
+	return &rejectedEntries{
+		log:             log,
+		count:           telemetry.NewCounter(r, "keel_node_entries_left_out_total", "Entries of the store left out, by reason.", "reason"),
+		loggedRevisions: map[string]int64{},
+		pending:         map[string]pendingTarget{},
 	}
 }
 
-// say logs and counts an entry that is left out, once a change of it.
-func (f *foreign) say(e platform.RejectedEntry) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if revision, ok := f.said[e.Key]; ok && revision == e.Revision {
+// report logs and counts a rejected entry, once for each of its revisions.
+func (s *rejectedEntries) report(e platform.RejectedEntry) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if revision, ok := s.loggedRevisions[e.Key]; ok && revision == e.Revision {
 		return
 	}
-	f.said[e.Key] = e.Revision
-	f.count.WithLabelValues(string(e.Err.Reason)).Inc()
-	f.log.WithError(e.Err).WithFields(logrus.Fields{"event": "entry_left_out", "key": e.Key, "reason": e.Err.Reason, "revision": e.Revision}).Warn("an entry of the store names nothing to use until it changes")
+	s.loggedRevisions[e.Key] = e.Revision
+	s.count.WithLabelValues(string(e.Err.Reason)).Inc()
+	s.log.WithError(e.Err).WithFields(logrus.Fields{"event": "entry_left_out", "key": e.Key, "reason": e.Err.Reason, "revision": e.Revision}).Warn("entry of the store can't be used; left out until it changes")
 }
 
-// release ends the waiting of a target's entry.
-func (f *foreign) release(id string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.unnamed, id)
+// removePending removes a target from the pending ones.
+func (s *rejectedEntries) removePending(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.pending, id)
 }
 
-// forget forgets what was said of an entry that is there no more, or good again.
-func (f *foreign) forget(key string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.said, key)
+// removeRecord removes the record of an entry that was deleted or has become valid.
+func (s *rejectedEntries) removeRecord(key string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.loggedRevisions, key)
 }
 
-// relisted forgets the entries below a prefix that a listing did not find.
-func (f *foreign) relisted(prefix string, there func(key string) bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for key := range f.said {
-		if strings.HasPrefix(key, prefix) && !there(key) {
-			delete(f.said, key)
+// prune removes the records of entries under a prefix that a listing did not contain.
+func (s *rejectedEntries) prune(prefix string, listed func(key string) bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for key := range s.loggedRevisions {
+		if strings.HasPrefix(key, prefix) && !listed(key) {
+			delete(s.loggedRevisions, key)
 		}
 	}
-	for id := range f.unnamed {
-		if key := platform.TargetKey(id); strings.HasPrefix(key, prefix) && !there(key) {
-			delete(f.unnamed, id)
+	for id := range s.pending {
+		if key := platform.TargetKey(id); strings.HasPrefix(key, prefix) && !listed(key) {
+			delete(s.pending, id)
 		}
 	}
 }
 
-// hold keeps a target's entry and returns true if its service is not named yet.
-// told is set where a configuration has come, by which it can be judged.
-func (f *foreign) hold(r fleet.Target, revision int64) (held, told bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.named[r.Service] {
+// holdPending stores a target's entry and returns waiting as true if its service is not known
+// yet. judged is true if a configuration has been received, so that the service is missing
+// from it.
+func (s *rejectedEntries) holdPending(r fleet.Target, revision int64) (waiting, judged bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.knownServices[r.Service] {
 		return false, true
 	}
-	f.unnamed[r.ID] = unnamed{runner: r, revision: revision}
-	return true, f.named != nil
+	s.pending[r.ID] = pendingTarget{target: r, revision: revision}
+	return true, s.knownServices != nil
 }
 
-// name takes the services that a configuration names. It returns the targets that
-// become usable by it, and those that still don't.
-func (f *foreign) name(services map[string]*catalog.Service) (usable, still []unnamed) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.named == nil {
-		f.named = map[string]bool{}
+// addServices records the services of a configuration. It returns the pending targets that
+// became usable, and those whose service is still unknown.
+func (s *rejectedEntries) addServices(services map[string]*catalog.Service) (usable, unknown []pendingTarget) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.knownServices == nil {
+		s.knownServices = map[string]bool{}
 	}
 	for name := range services {
-		f.named[name] = true
+		s.knownServices[name] = true
 	}
-	for id, u := range f.unnamed {
-		if f.named[u.runner.Service] {
+	for id, u := range s.pending {
+		if s.knownServices[u.target.Service] {
 			usable = append(usable, u)
-			delete(f.unnamed, id)
+			delete(s.pending, id)
 		} else {
-			still = append(still, u)
+			unknown = append(unknown, u)
 		}
 	}
-	return usable, still
+	return usable, unknown
 }
 
-// known reports whether a target's service is one that the configuration names.
-// If not, the target is used no more; its entry waits for a configuration that does.
-func (v *view) known(r fleet.Target, revision int64) bool {
-	held, told := v.foreign.hold(r, revision)
-	if !held {
-		v.foreign.release(r.ID)
-		v.foreign.forget(platform.TargetKey(r.ID))
+// serviceKnown reports whether a configuration names the target's service. If not, the target
+// is removed and its entry is kept until one does.
+func (v *view) serviceKnown(r fleet.Target, revision int64) bool {
+	waiting, judged := v.rejected.holdPending(r, revision)
+	if !waiting {
+		v.rejected.removePending(r.ID)
+		v.rejected.removeRecord(platform.TargetKey(r.ID))
 		return true
 	}
-	v.end(r.ID)
-	if told {
-		v.sayUnnamed(unnamed{runner: r, revision: revision})
+	v.removeTarget(r.ID)
+	if judged {
+		v.reportUnknownService(pendingTarget{target: r, revision: revision})
 	}
 	return false
 }
 
-func (v *view) sayUnnamed(u unnamed) {
-	v.foreign.say(platform.RejectedEntry{
-		Key: platform.TargetKey(u.runner.ID), Revision: u.revision,
-		Err: &platform.EntryError{Reason: platform.UnknownService, Field: u.runner.Service},
+func (v *view) reportUnknownService(u pendingTarget) {
+	v.rejected.report(platform.RejectedEntry{
+		Key: platform.TargetKey(u.target.ID), Revision: u.revision,
+		Err: &platform.EntryError{Reason: platform.UnknownService, Field: u.target.Service},
 	})
 }
 
-// name takes in the targets whose services a configuration has come to name.
-func (v *view) name(services map[string]*catalog.Service) {
-	usable, still := v.foreign.name(services)
+// activatePending adds the targets whose services a new configuration names.
+func (v *view) activatePending(services map[string]*catalog.Service) {
+	usable, unknown := v.rejected.addServices(services)
 	for _, u := range usable {
-		v.TargetSet(u.runner, u.revision)
+		v.TargetSet(u.target, u.revision)
 	}
-	for _, u := range still {
-		v.sayUnnamed(u)
+	for _, u := range unknown {
+		v.reportUnknownService(u)
 	}
 }
 
-// end takes a target out whose entry is there and can't be used. Its writer has
-// reached the store, so an outage before excuses nothing.
-func (v *view) end(id string) {
+// removeTarget removes a target whose entry exists but can't be used. Its writer has reached
+// the store, so the delay for entries that vanished during an outage does not apply.
+func (v *view) removeTarget(id string) {
 	v.mu.Lock()
-	v.stay(id)
+	v.cancelRemoval(id)
 	v.mu.Unlock()
 	v.fleet.Remove(id)
 }
 
-// EntryRejected implements platform.View.
+// EntryRejected implements platform.StateHandler.
 func (v *view) EntryRejected(e platform.RejectedEntry) {
 	if id, ok := platform.ParseTargetKey(e.Key); ok {
-		v.foreign.release(id)
-		v.end(id)
+		v.rejected.removePending(id)
+		v.removeTarget(id)
 	}
 	if strings.HasPrefix(e.Key, v.keys.members) {
-		v.enlist(e.Key, "")
+		v.setMember(e.Key, "")
 	}
-	if e.Key == v.keys.seat {
-		v.seat.ObserveForeign(e.Revision)
-		v.holder.Wake()
+	if e.Key == v.keys.leader {
+		v.leaderLock.ObserveForeign(e.Revision)
+		v.controller.Wake()
 	}
-	v.foreign.say(e)
+	v.rejected.report(e)
 }
 
-// memberFault returns what is wrong with the entry of a member, or nil. One whose
-// address can't be read would be counted among those that share the work, and be
-// logged with each pulse.
-func (v *view) memberFault(key, value string) *platform.EntryError {
-	if !isName(strings.TrimPrefix(key, v.keys.members)) {
+// validateMember returns what is wrong with a member's entry, or nil. A member with an
+// unreadable address would be counted among those that share the work, and cause a log line
+// with each update.
+func (v *view) validateMember(key, value string) *platform.EntryError {
+	if !isInstanceName(strings.TrimPrefix(key, v.keys.members)) {
 		return &platform.EntryError{Reason: platform.BadKey}
 	}
-	at, err := netip.ParseAddrPort(readMember(key, value).Address)
+	at, err := netip.ParseAddrPort(decodeMember(key, value).Address)
 	if err != nil || at.Port() == 0 {
 		return &platform.EntryError{Reason: platform.BadValue, Field: "address", Err: err}
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -30,85 +30,87 @@
 	"acaciakeel/verdicts"
 )
 
-// Node is the process.
+// Node is one process of the system.
 type Node struct {
-	settings platform.NodeSettings
-	log      logrus.FieldLogger
-	registry *prometheus.Registry
-	view     *view
-	session  *lease.Session
-	store    *platform.Store
-	front    *platform.Frontend
-	router   *router.Router
-	events   *fleet.CacheWatcher
-	pulse    *pulse
-	name     string
-	stopping chan struct{}
-	options  Options
-	limits   limitMetrics
-	notices  noticeMetrics
-	doors    struct{ front, ready, metrics *door.Server }
-	// cancel ends all the node does, endDuties what it does for others.
-	cancel    context.CancelFunc
-	endDuties context.CancelFunc
-	// enrolled is the node's entry among the members.
-	enrolled struct {
+	settings     platform.NodeSettings
+	log          logrus.FieldLogger
+	registry     *prometheus.Registry
+	view         *view
+	session      *lease.Session
+	store        *platform.Store
+	frontend     *platform.Frontend
+	router       *router.Router
+	cacheWatcher *fleet.CacheWatcher
+	exchange     *peerExchange
+	name         string
+	stopping     chan struct{}
+	options      Options
+	limits       limitMetrics
+	targetLimits targetLimitMetrics
+	servers      struct{ front, ready, metrics *door.Server }
+	// cancel stops everything that the node runs; cancelDuties stops what it does for the
+	// other nodes: its lease, the leader election, the node count and rollouts.
+	cancel       context.CancelFunc
+	cancelDuties context.CancelFunc
+	// membership is the state of the node's own entry among the members in the store.
+	membership struct {
 		sync.Mutex
 		revision int64
 		left     bool
 	}
-	// serving is what clients' requests are served under; interrupt ends it with
-	// the reason that requests are answered with.
-	serving   context.Context
-	interrupt context.CancelCauseFunc
+	// requestCtx is the parent context of all client requests; cancelRequests cancels it with
+	// the error that unfinished requests are answered with.
+	requestCtx     context.Context
+	cancelRequests context.CancelCauseFunc
 }
 
-// Options are what the platform's settings do not say.
+// Options are the settings that are not part of the platform's settings file.
 type Options struct {
-	// MetricsPort is where metrics are served, as the deploy file says; 0 is any port.
+	// MetricsPort is the port for metrics, from the deploy file; 0 picks any free port.
 	MetricsPort int
-	// DroppedLogLines, where set, returns how many log lines were lost.
+	// DroppedLogLines, if set, returns the number of log lines lost.
 	DroppedLogLines func() int64
-	// Disabled are the mechanisms that are switched off.
+	// Disabled lists the mechanisms that are switched off.
 	Disabled policy.Disabled
 }
 
-func (o Options) dropped() int64 {
+func (o Options) droppedLogLines() int64 {
 	if o.DroppedLogLines == nil {
 		return 0
 	}
 	return o.DroppedLogLines()
 }
 
-// Figures of a node's duties.
+// Timing of the store watch, the lease and the bounds on old weights.
 const (
-	// watchWait is how often the store confirms the view. Keys are trusted for
-	// the deployment's bound after the last confirmation, less staleMargin. The
-	// others of the group live on the same watch, one watch, a telling and a
-	// pulse later, and are to hear of it well before they would ask themselves.
-	watchWait = 500 * time.Millisecond
-	// gather is how long news may wait for more of it; a configuration has
-	// seconds to come into force.
-	gather = 300 * time.Millisecond
-	// staleMargin covers a watch that hears nothing for a second before it is
-	// cut, and the time from a request's arrival to its sending.
+	// watchTimeout is how long the store holds a watch open without changes, and so how often
+	// it confirms the view. API keys are trusted until the deployment's bound after the last
+	// confirmation, less staleMargin. The other members of the group depend on the same watch:
+	// a confirmation reaches them after one watch, one send and one update interval, and must
+	// do so well before they would query the store themselves.
+	watchTimeout = 500 * time.Millisecond
+	// batchDelay is the pause after a change before the next watch, so that changes arriving
+	// together cost one call; a configuration has seconds to take effect.
+	batchDelay = 300 * time.Millisecond
+	// staleMargin covers a watch that receives nothing for a second before it is cut, and the
+	// time from a request's arrival until it is sent on.
 	staleMargin = 1300 * time.Millisecond
-	// leaseTTL is how long the others wait for a node that died. It outlasts two
-	// calls of a slow store, so that such a store ends no lease.
+	// leaseTTL is how long the other nodes wait for a node that crashed. It is longer than two
+	// calls to a slow store, so that a slow store alone does not expire leases.
 	leaseTTL = 2 * time.Second
-	// leaseMargin is kept from the end of the lease before an order: an order
-	// takes milliseconds to arrive, and clocks run a little apart.
+	// leaseMargin is the time before the end of the lease in which no order is sent: an order
+	// takes milliseconds to arrive, and clocks run at slightly different rates.
 	leaseMargin = 400 * time.Millisecond
-	// oldWeightsMargin is kept from the bound after which no request may begin
-	// on older weights: it waits at the runner before it begins.
+	// oldWeightsMargin is subtracted from the bound after which no request may start on older
+	// weights, because a request queues at the runner before it starts.
 	oldWeightsMargin = 1500 * time.Millisecond
-	// beginMargin is kept from that bound before what waits at a runner is taken back:
-	// the end of a connection takes some ms to arrive there, on a slow link or a busy
-	// machine a tenth of a second.
+	// beginMargin is how long before that bound requests queued at a runner are cancelled:
+	// closing a connection takes some milliseconds to reach the runner, and a tenth of a
+	// second on a slow link or a busy machine.
 	beginMargin = 300 * time.Millisecond
 )
 
-// New returns a node that has not begun.
+// New returns a node that has not been started.
 func New(s platform.NodeSettings, o Options, log logrus.FieldLogger) *Node {
 	n := &Node{
 		settings: s,
@@ -116,58 +118,58 @@
 		log:      log,
 		registry: telemetry.NewRegistry(),
 		store:    platform.NewStore("http://" + s.Store.Address),
-		name:     newName(s.Name),
+		name:     newInstanceName(s.Name),
 		stopping: make(chan struct{}),
 	}
-	n.serving, n.interrupt = context.WithCancelCause(context.Background())
+	n.requestCtx, n.cancelRequests = context.WithCancelCause(context.Background())
 	runners := platform.NewRunnerClient()
 	targets := fleet.New(s.Zone)
 	targets.Disable(o.Disabled)
 	n.session = lease.NewSession(n.store, max(leaseTTL, time.Duration(s.Store.MinLeaseMS)*time.Millisecond), leaseMargin)
 	n.view = &view{
-		fleet:   targets,
-		log:     log,
-		members: map[string]peering.Member{},
-		grace:   s.Bounds.Grace(),
-		lapsed:  map[string]*time.Timer{},
-		foreign: newForeign(n.registry, log),
-		keys:    ownKeysOf(),
+		fleet:         targets,
+		log:           log,
+		members:       map[string]peering.Member{},
+		grace:         s.Bounds.Grace(),
+		removalTimers: map[string]*time.Timer{},
+		rejected:      newRejectedEntries(n.registry, log),
+		keys:          newSystemKeys(),
 	}
 	n.view.self = n.view.keys.members + n.name
-	n.view.limitBook = quota.NewLimiter(s.Bounds.Quota(), o.Disabled, n.session.Valid, time.Now())
-	n.view.targetBook = quota.NewLimiter(fleet.LimitTolerance, o.Disabled, n.session.Valid, time.Now())
-	targets.EnforceLimits(n.view.targetBook, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	n.limits = newLimitMetrics(n.registry, n.view.limitBook)
-	n.notices = newNoticeMetrics(n.registry)
+	n.view.customerLimiter = quota.NewLimiter(s.Bounds.Quota(), o.Disabled, n.session.Valid, time.Now())
+	n.view.targetLimiter = quota.NewLimiter(fleet.LimitTolerance, o.Disabled, n.session.Valid, time.Now())
+	targets.EnforceLimits(n.view.targetLimiter, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	n.limits = newLimitMetrics(n.registry, n.view.customerLimiter)
+	n.targetLimits = newTargetLimitMetrics(n.registry)
 	if s.Bounds.RevokeFailClosed {
 		n.view.staleAfter = time.Duration(s.Bounds.RevokeMS)*time.Millisecond - staleMargin
 	}
-	n.view.oldWeights = time.Duration(s.Bounds.VersionMS)*time.Millisecond - oldWeightsMargin
+	n.view.oldWeightsLimit = time.Duration(s.Bounds.VersionMS)*time.Millisecond - oldWeightsMargin
 	n.view.verdicts = verdicts.NewSyncer(n.store, n.registry, log)
-	n.view.seat = rollout.NewLeaderLock(n.store, n.session, n.view.keys.seat, n.name, time.Duration(s.Bounds.LeaseMS)*time.Millisecond, log)
-	n.pulse = newPulse(n.name, targets, n.view.verdicts.Table, n.view, log)
-	n.view.verdicts.Leadership, n.view.verdicts.PublishNow = n.view.seat, n.pulse.soon
-	n.pulse.digest.counted = telemetry.NewCounter(n.registry, "keel_node_digests_total", "Digests between groups of entries: told, passed_on, left_out.", "what")
-	n.view.holder = rollout.NewController(s.Name, rollout.Config{
-		Leadership: n.view.seat, Client: runners, Fleet: targets, Services: n.view.services, Notify: n.pulse.soon, Metrics: rollout.NewMetrics(n.registry),
-		MaxStaleness: n.view.oldWeights,
+	n.view.leaderLock = rollout.NewLeaderLock(n.store, n.session, n.view.keys.leader, n.name, time.Duration(s.Bounds.LeaseMS)*time.Millisecond, log)
+	n.exchange = newPeerExchange(n.name, targets, n.view.verdicts.Table, n.view, log)
+	n.view.verdicts.Leadership, n.view.verdicts.PublishNow = n.view.leaderLock, n.exchange.sendSoon
+	n.exchange.relay.outcomes = telemetry.NewCounter(n.registry, "keel_node_digests_total", "Digests between groups of entries: told, passed_on, left_out.", "what")
+	n.view.controller = rollout.NewController(s.Name, rollout.Config{
+		Leadership: n.view.leaderLock, Client: runners, Fleet: targets, Services: n.view.services, Notify: n.exchange.sendSoon, Metrics: rollout.NewMetrics(n.registry),
+		MaxStaleness: n.view.oldWeightsLimit,
 	}, log)
-	targets.OnRestart(n.view.reborn)
+	targets.OnRestart(n.view.targetRestarted)
 	targets.OnEnd(func(l fleet.Instance) { n.view.verdicts.Table.RecordCrash(l, time.Now()) })
-	watches := telemetry.NewCounter(n.registry, "keel_node_store_watches_total", "Watches of the platform's store, by reason.", "reason")
-	timing := follow.Options{WatchTimeout: watchWait, BatchDelay: gather, PeerTimeout: n.view.patience, OnWatch: func(r follow.Reason) { watches.WithLabelValues(string(r)).Inc() }}
+	watchCounter := telemetry.NewCounter(n.registry, "keel_node_store_watches_total", "Watches of the platform's store, by reason.", "reason")
+	timing := follow.Options{WatchTimeout: watchTimeout, BatchDelay: batchDelay, PeerTimeout: n.view.peerTimeout, OnWatch: func(r follow.Reason) { watchCounter.WithLabelValues(string(r)).Inc() }}
 	n.view.follower = follow.New(n.store, platform.AllKeys, timing, platform.NewDecoder(n.view), log)
-	n.view.follower.OnChanges(n.pulse.watched)
+	n.view.follower.OnChanges(n.exchange.shareChanges)
 	n.registerGauges()
-	n.events = fleet.NewCacheWatcher(targets, runners)
-	bounds := router.Bounds{MaxStaleness: n.view.oldWeights, MaxStartStaleness: time.Duration(s.Bounds.VersionMS)*time.Millisecond - beginMargin}
+	n.cacheWatcher = fleet.NewCacheWatcher(targets, runners)
+	bounds := router.Bounds{MaxStaleness: n.view.oldWeightsLimit, MaxStartStaleness: time.Duration(s.Bounds.VersionMS)*time.Millisecond - beginMargin}
 	retries := router.RetryBounds{
 		Ratio:  s.Bounds.RetryRatio,
 		Extra:  s.Bounds.RetryExtra,
 		Window: time.Duration(s.Bounds.RetryWindowS * float64(time.Second)),
 	}
-	n.router = router.New(n.view, targets, runners, n.view.verdicts.Table, n.view.limitBook, router.NewMetrics(n.registry), log, bounds, retries)
-	n.front = platform.NewFrontend(n.router, n.view.limits, platform.Telemetry{
+	n.router = router.New(n.view, targets, runners, n.view.verdicts.Table, n.view.customerLimiter, router.NewMetrics(n.registry), log, bounds, retries)
+	n.frontend = platform.NewFrontend(n.router, n.view.limits, platform.Telemetry{
 		Log:    log,
 		Panics: telemetry.NewCounter(n.registry, "keel_node_panics_total", "Requests whose serving panicked.").WithLabelValues(),
 	})
@@ -183,86 +185,85 @@
 		return float64(n.view.verdicts.Table.RefusedCount(time.Now()))
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_oldest_naming_seconds", "For how long the oldest naming of weights has not been in force everywhere; 0 where all are.", func() float64 {
-		return n.view.oldestNaming(time.Now()).Seconds()
+		return n.view.oldestPendingRollout(time.Now()).Seconds()
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_leaving_unlisted_targets", "Targets that say in answers that they leave and are not listed as draining.", func() float64 {
 		return float64(n.view.fleet.UnlistedShutdowns())
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_seat_held", "1 while this node gives the orders.", func() float64 {
-		if _, held := n.view.seat.Held(); held {
+		if _, held := n.view.leaderLock.Held(); held {
 			return 1
 		}
 		return 0
 	})
 	telemetry.NewGaugeFunc(n.registry, "keel_node_log_lines_dropped_total", "Log lines dropped because nobody read them.", func() float64 {
-		return float64(n.options.dropped())
+		return float64(n.options.droppedLogLines())
 	})
 }
 
-// newName returns the name of one start of a node.
-func newName(node string) string {
+// newInstanceName returns a name that is unique to one start of a node.
+func newInstanceName(node string) string {
 	return node + "/" + uuid.NewString()
 }
 
-// isName reports whether a text is the name of a node's start.
-func isName(text string) bool {
+// isInstanceName reports whether text has the form of newInstanceName's result.
+func isInstanceName(text string) bool {
 	at := strings.LastIndexByte(text, '/')
 	return at > 0 && uuid.Validate(text[at+1:]) == nil
 }
 
-// Start opens the node's doors and begins its duties. Requests that come before
-// the first configuration are refused with the time to come back.
+// Start opens the node's listeners and starts its background work. Requests that arrive before
+// the first configuration are refused with a Retry-After.
 func (n *Node) Start() error {
-	if err := n.pulse.listen(n.pulseAddress()); err != nil {
+	if err := n.exchange.listen(n.exchangeAddress()); err != nil {
 		return err
 	}
-	if err := n.openDoors(); err != nil {
+	if err := n.startServers(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	duties, endDuties := context.WithCancel(ctx)
-	n.cancel, n.endDuties = cancel, endDuties
+	duties, cancelDuties := context.WithCancel(ctx)
+	n.cancel, n.cancelDuties = cancel, cancelDuties
 	go n.view.follower.Run(ctx)
-	go n.events.Run(ctx)
-	go n.pulse.run(ctx)
-	go n.logFigures(ctx)
+	go n.cacheWatcher.Run(ctx)
+	go n.exchange.run(ctx)
+	go n.logEngineStats(ctx)
 	go n.logLimits(ctx)
 	go n.logTargetLimits(ctx)
-	go n.keepCount(duties)
+	go n.maintainNodeCount(duties)
 	go n.view.verdicts.Run(ctx)
-	go n.session.Run(duties, n.enrol)
-	go n.view.holder.Run(duties)
-	go n.seekSeat(duties)
-	n.log.WithFields(logrus.Fields{"event": "started", "node": n.settings.Name, "zone": n.settings.Zone, "listen": n.doors.front.Address()}).Info("serving")
+	go n.session.Run(duties, n.onNewLease)
+	go n.view.controller.Run(duties)
+	go n.runElection(duties)
+	n.log.WithFields(logrus.Fields{"event": "started", "node": n.settings.Name, "zone": n.settings.Zone, "listen": n.servers.front.Address()}).Info("serving")
 	return nil
 }
 
-// openDoors opens the front last, when nothing else can fail: clients that came
-// before would lose their connections, and what they sent, with the process.
-func (n *Node) openDoors() error {
+// startServers starts the client server last, when nothing else can fail: otherwise clients
+// could connect and send requests to a process that is about to exit.
+func (n *Node) startServers() error {
 	watch := door.Telemetry{
 		Log:        n.log,
 		Unanswered: telemetry.NewCounter(n.registry, "keel_node_connections_unanswered_total", "Connections closed with a request read and nothing answered.").WithLabelValues(),
 	}
 	var err error
-	if n.doors.metrics, err = door.Start(n.metricsAddress(), newServer(n.metricsHandler()), watch); err != nil {
+	if n.servers.metrics, err = door.Start(n.metricsAddress(), newServer(n.metricsHandler()), watch); err != nil {
 		return err
 	}
-	if n.doors.ready, err = door.Start(n.settings.Listen.Ready, newServer(http.HandlerFunc(n.serveReady)), watch); err != nil {
+	if n.servers.ready, err = door.Start(n.settings.Listen.Ready, newServer(http.HandlerFunc(n.serveReady)), watch); err != nil {
 		return err
 	}
-	front := newServer(n.front)
-	front.BaseContext = func(net.Listener) context.Context { return n.serving }
-	n.doors.front, err = door.Start(n.settings.Listen.Front, front, watch)
+	front := newServer(n.frontend)
+	front.BaseContext = func(net.Listener) context.Context { return n.requestCtx }
+	n.servers.front, err = door.Start(n.settings.Listen.Front, front, watch)
 	return err
 }
 
-// FrontAddress and ReadyAddress return where the started node serves clients
-// and the platform's question whether it is ready.
-func (n *Node) FrontAddress() string { return n.doors.front.Address() }
+// FrontAddress returns the address at which the started node serves clients.
+func (n *Node) FrontAddress() string { return n.servers.front.Address() }
 
-// ReadyAddress returns where the platform asks whether the node is ready.
-func (n *Node) ReadyAddress() string { return n.doors.ready.Address() }
+// ReadyAddress returns the address of the readiness probe.
+func (n *Node) ReadyAddress() string { return n.servers.ready.Address() }
 
 func (n *Node) metricsAddress() string {
 	return net.JoinHostPort(n.settings.IP, strconv.Itoa(n.options.MetricsPort))
@@ -275,7 +276,7 @@
 	return mux
 }
 
-// serveReady answers whether new connections are to come here.
+// serveReady answers the readiness probe: whether new connections may be sent to this node.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case <-n.stopping:
@@ -288,36 +289,36 @@
 	}
 }
 
-// enrol puts the node among the members under a new lease.
-func (n *Node) enrol(ctx context.Context, id store.LeaseID) {
-	if err := n.join(ctx, id); err != nil {
-		n.log.WithError(err).WithField("event", "enrol_failed").Warn("the others count this node out until its next lease")
+// onNewLease registers the node under a new lease and tries to become leader.
+func (n *Node) onNewLease(ctx context.Context, id store.LeaseID) {
+	if err := n.register(ctx, id); err != nil {
+		n.log.WithError(err).WithField("event", "enrol_failed").Warn("could not register among the members; the other nodes ignore this node until its next lease")
 	}
-	if n.seeks() {
-		n.view.seat.TryAcquire(ctx)
+	if n.isCandidate() {
+		n.view.leaderLock.TryAcquire(ctx)
 	}
 }
 
-// join writes the node's entry among the members, unless it is leaving.
-func (n *Node) join(ctx context.Context, id store.LeaseID) error {
-	n.enrolled.Lock()
-	defer n.enrolled.Unlock()
-	if n.enrolled.left {
+// register writes the node's entry among the members, unless the node is leaving.
+func (n *Node) register(ctx context.Context, id store.LeaseID) error {
+	n.membership.Lock()
+	defer n.membership.Unlock()
+	if n.membership.left {
 		return nil
 	}
-	revision, err := n.store.Put(ctx, n.view.self, memberValue(n.pulse.address(), n.settings.Zone), 0, id)
+	revision, err := n.store.Put(ctx, n.view.self, encodeMember(n.exchange.address(), n.settings.Zone), 0, id)
 	if err == nil {
-		n.enrolled.revision = revision
+		n.membership.revision = revision
 	}
 	return err
 }
 
-// seekEvery is how often a free seat is looked for.
-const seekEvery = 200 * time.Millisecond
+// electionInterval is how often the node checks whether the leader lock is free.
+const electionInterval = 200 * time.Millisecond
 
-// seekSeat takes the seat once it is free.
-func (n *Node) seekSeat(ctx context.Context) {
-	ticker := time.NewTicker(seekEvery)
+// runElection acquires the leader lock once it is free.
+func (n *Node) runElection(ctx context.Context) {
+	ticker := time.NewTicker(electionInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -325,17 +326,17 @@
 		case <-ctx.Done():
 			return
 		}
-		if n.view.follower.Disconnected() || n.view.Config() == nil || !n.seeks() {
+		if n.view.follower.Disconnected() || n.view.Config() == nil || !n.isCandidate() {
 			continue
 		}
-		if n.view.seat.TryAcquire(ctx) {
-			n.view.holder.Wake()
+		if n.view.leaderLock.TryAcquire(ctx) {
+			n.view.controller.Wake()
 		}
 	}
 }
 
-// Bounds of the listeners. They outlast the limits that the configuration sets
-// on clients, which may change while connections are open.
+// Limits of the HTTP servers. They are wider than the client limits of the configuration,
+// which may change while connections are open.
 const (
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 60 * time.Second
--- a/node/notices.go
+++ b/node/notices.go
@@ -12,46 +12,46 @@
 	"acaciakeel/telemetry"
 )
 
-// limitUsesEvery is how often it is logged what goes to targets with limits.
-const limitUsesEvery = time.Second
+// limitUseInterval is how often the calls of targets with limits are logged.
+const limitUseInterval = time.Second
 
-// noticeMetrics are the counters of what goes to targets with limits.
-type noticeMetrics struct {
+// targetLimitMetrics are the metrics of calls to targets that name limits.
+type targetLimitMetrics struct {
 	limited prometheus.Gauge
 	sent    *prometheus.CounterVec
 }
 
-func newNoticeMetrics(r *prometheus.Registry) noticeMetrics {
-	return noticeMetrics{
+func newTargetLimitMetrics(r *prometheus.Registry) targetLimitMetrics {
+	return targetLimitMetrics{
 		limited: telemetry.NewGauge(r, "keel_node_limited_targets", "Targets that name a limit of requests a second.").WithLabelValues(),
 		sent:    telemetry.NewCounter(r, "keel_node_limited_sends_total", "Calls of targets that name a limit: requests, and readings of cache events.", "call"),
 	}
 }
 
-// logTargetLimits logs what this entry sends to targets with limits.
+// logTargetLimits logs the calls of this node to targets that name limits.
 func (n *Node) logTargetLimits(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, limitUsesEvery)
+		clock.Sleep(ctx, limitUseInterval)
 		uses := n.view.fleet.TakeLimitUsage()
-		n.notices.limited.Set(float64(len(uses)))
+		n.targetLimits.limited.Set(float64(len(uses)))
 		for _, u := range uses {
-			n.notices.sent.WithLabelValues("request").Add(float64(u.Requests))
-			n.notices.sent.WithLabelValues("reading").Add(float64(u.CacheReads))
+			n.targetLimits.sent.WithLabelValues("request").Add(float64(u.Requests))
+			n.targetLimits.sent.WithLabelValues("reading").Add(float64(u.CacheReads))
 			n.log.WithFields(logrus.Fields{
 				"event": "target_limit_use", "target": u.Target.ID, "born": u.Target.Born, "limit": u.Rate, "requests": u.Requests, "readings": u.CacheReads,
-			}).Info("sent in the last second to a target that names a limit")
+			}).Info("calls in the last second of a target that names a limit")
 		}
 	}
 }
 
-// logHeard logs what another entry's news changed of targets' words on themselves.
-func (p *pulse) logHeard(heard fleet.MergeResult, from string) {
-	for _, c := range heard.Limits {
+// logTargetUpdates logs limits and departures of targets that were learnt from another node.
+func (p *peerExchange) logTargetUpdates(merged fleet.MergeResult, from string) {
+	for _, c := range merged.Limits {
 		p.log.WithFields(logrus.Fields{
 			"event": "target_limit", "from": from, "target": c.Target.ID, "born": c.Target.Born, "named": c.New.Declared, "limit": c.New.Rate, "former": c.Old.Rate,
-		}).Info("another entry tells of a target's limit")
+		}).Info("another node reports a target's limit")
 	}
-	for _, l := range heard.ShuttingDown {
-		p.log.WithFields(logrus.Fields{"event": "target_leaves", "from": from, "target": l.ID, "born": l.Born}).Info("another entry tells that the target leaves")
+	for _, l := range merged.ShuttingDown {
+		p.log.WithFields(logrus.Fields{"event": "target_leaves", "from": from, "target": l.ID, "born": l.Born}).Info("another node reports that the target leaves")
 	}
 }
--- a/node/view.go
+++ b/node/view.go
@@ -1,5 +1,5 @@
-// Package node is one process of the system on the platform: its view of the
-// operators' intent and of the targets, its duties, and its stop.
+// Package node is one process of the system on the platform: its view of the operators'
+// configuration and of the targets, its background work, and its planned stop.
 package node
 
 import (
@@ -23,67 +23,70 @@
 	"acaciakeel/verdicts"
 )
 
-// view implements platform.View and router.Configuration.
+// view holds what the node knows of the configuration, the targets and the other nodes. It
+// implements platform.StateHandler and router.ConfigSource.
 type view struct {
-	fleet    *fleet.Fleet
-	log      logrus.FieldLogger
-	follower *follow.Follower
-	seat     *rollout.LeaderLock
-	holder   *rollout.Controller
-	verdicts *verdicts.Syncer
-	// staleAfter is the age beyond which keys are not believed.
+	fleet      *fleet.Fleet
+	log        logrus.FieldLogger
+	follower   *follow.Follower
+	leaderLock *rollout.LeaderLock
+	controller *rollout.Controller
+	verdicts   *verdicts.Syncer
+	// staleAfter is the age of the view beyond which API keys are not trusted; 0 means no
+	// bound.
 	staleAfter time.Duration
-	// oldWeights is for how long after newer ones were named older weights serve.
-	oldWeights time.Duration
-	keys       ownKeys
+	// oldWeightsLimit is how long after newer weights became desired requests may be sent to
+	// targets with older ones.
+	oldWeightsLimit time.Duration
+	keys            systemKeys
 
 	config atomic.Pointer[catalog.Config]
-	// limitBook holds what customers used of their limits.
-	limitBook *quota.Limiter
-	// targetBook holds what all entries sent to targets that name limits.
-	targetBook *quota.Limiter
+	// customerLimiter tracks customers' use of their limits.
+	customerLimiter *quota.Limiter
+	// targetLimiter tracks the requests of all nodes to targets that name limits.
+	targetLimiter *quota.Limiter
 
 	// self is this node's key among the members.
 	self string
 
 	mu sync.Mutex
-	// members are the nodes that serve, by their keys.
+	// members are the nodes that serve, by key.
 	members map[string]peering.Member
-	// leavers are those that left within grace, which is how long a process may take to
-	// stop.
-	leavers leavers
-	grace   time.Duration
-	count   entryCount
-	// planned is what this node has to do with them; nil until it is asked for
-	// after a change.
-	planned *peering.Plan
-	// place is what was logged of it last.
-	place place
-	// lapsed are the targets whose entries vanished around an outage of the
-	// store, with the timers that end their respite.
-	lapsed map[string]*time.Timer
-	// foreign are the entries that name nothing to use.
-	foreign *foreign
+	// departed are the members that left within grace, the longest time that a process may
+	// take to stop.
+	departed  departedMembers
+	grace     time.Duration
+	nodeCount nodeCount
+	// cachedPlan is the peering plan for the current members; nil after a change until it is
+	// next needed.
+	cachedPlan *peering.Plan
+	// loggedPosition is the position in the plan that was logged last.
+	loggedPosition groupPosition
+	// removalTimers hold the targets whose entries vanished around an outage of the store,
+	// with the timers that remove them.
+	removalTimers map[string]*time.Timer
+	// rejected are the store's entries that can't be used.
+	rejected *rejectedEntries
 }
 
-// ownKeys are the keys of the system's own.
-type ownKeys struct {
-	seat    string
+// systemKeys are the system's own keys in the store.
+type systemKeys struct {
+	leader  string
 	members string
-	// count is of how many entries there have been lately.
-	count string
+	// nodeCount is the key of the recent number of nodes.
+	nodeCount string
 }
 
-func ownKeysOf() ownKeys {
-	return ownKeys{seat: platform.SystemPrefix + "orders", members: platform.SystemPrefix + "members/", count: platform.SystemPrefix + "entries"}
+func newSystemKeys() systemKeys {
+	return systemKeys{leader: platform.SystemPrefix + "orders", members: platform.SystemPrefix + "members/", nodeCount: platform.SystemPrefix + "entries"}
 }
 
-// Config implements router.Configuration.
+// Config implements router.ConfigSource.
 func (v *view) Config() *catalog.Config {
 	return v.config.Load()
 }
 
-// Fresh implements router.Configuration.
+// Fresh implements router.ConfigSource.
 func (v *view) Fresh() bool {
 	age, ok := v.follower.Age()
 	return ok && (v.staleAfter == 0 || age < v.staleAfter)
@@ -103,8 +106,8 @@
 	return nil
 }
 
-// ConfigSet implements platform.View. Versions never go back within the life
-// of the process, whatever a read that is late may say.
+// ConfigSet implements platform.StateHandler. Versions never decrease while the process runs,
+// even if an older read arrives late.
 func (v *view) ConfigSet(c *catalog.Config) {
 	if old := v.config.Load(); old != nil && c.Version <= old.Version {
 		return
@@ -117,27 +120,31 @@
 		}
 	}
 	v.fleet.SetStores(stores)
-	v.limitBook.SetLimits(c.CustomerLimits(), time.Now())
-	v.name(c.Services)
-	v.log.WithFields(logrus.Fields{"event": "config_applied", "version": c.Version, "routes": len(c.Routes), "customers": len(c.Customers)}).Info("configuration in force")
+	v.customerLimiter.SetLimits(c.CustomerLimits(), time.Now())
+	v.activatePending(c.Services)
+	v.log.WithFields(logrus.Fields{"event": "config_applied", "version": c.Version, "routes": len(c.Routes), "customers": len(c.Customers)}).Info("configuration applied")
 }
 
-// newsLag is how old news of the store may be when it is heard: the pause after other
-// news before the next watch, and the way over the member that watches for its group.
-const newsLag = gather + 100*time.Millisecond
-
-// namedAt returns since when new weights are taken to be wanted: their bound runs from
-// the store's word, which may be as old as news gets. One that finds them in a listing
-// knows no more than that they were not there when its view was last confirmed; were they
-// taken for as old as may be, a store that drops its history as weights are named would
-// leave all targets with older ones out of use at once. At its start it knows nothing, and
-// guesses that the time of older weights is over, until the others tell: the naming may be
-// as old as the bound, and requests would begin on them after it.
-func (v *view) namedAt(model string, listed bool, now time.Time) (at time.Time, guessed bool) {
+// changeLag is the maximum age of a change of the store when it is received: the pause after a
+// batch before the next watch, and the way through the member that watches for its group.
+const changeLag = batchDelay + 100*time.Millisecond
+
+// desiredSince returns the time from which new weights count as desired. The bound on older
+// weights runs from the store's acknowledgement, which may be older than the receipt by
+// changeLag.
+//
+// Weights found in a listing are known only to have been absent when the view was last
+// confirmed. Assuming the maximum age for them would put all targets with older weights out of
+// use at once if the store drops its history while the version is being changed.
+//
+// At start nothing is known, and the time for older weights is assumed to be over until the
+// other nodes report the age: the change may be as old as the bound, and requests would start
+// on older weights after it.
+func (v *view) desiredSince(model string, listed bool, now time.Time) (at time.Time, guessed bool) {
 	if !listed {
-		return now.Add(-newsLag), false
+		return now.Add(-changeLag), false
 	}
-	earliest := now.Add(-v.oldWeights)
+	earliest := now.Add(-v.oldWeightsLimit)
 	age, ok := v.follower.Age()
 	if !ok || v.fleet.DesiredVersion(model) == 0 {
 		return earliest, true
@@ -148,21 +155,21 @@
 	return earliest, false
 }
 
-// ModelSet implements platform.View.
+// ModelSet implements platform.StateHandler.
 func (v *view) ModelSet(n platform.DesiredVersion) {
 	now := time.Now()
-	at, guessed := v.namedAt(n.Model, n.Listed, now)
+	at, guessed := v.desiredSince(n.Model, n.Listed, now)
 	if !v.fleet.RecordDesired(n.Model, n.Version, at, guessed) {
 		return
 	}
 	fields := logrus.Fields{"event": "weights_named", "model": n.Model, "weights": n.Version, "revision": n.Revision, "listed": n.Listed, "guessed": guessed, "age_ms": now.Sub(at).Milliseconds()}
-	v.log.WithFields(fields).Info("new weights are wanted")
-	v.holder.Wake()
+	v.log.WithFields(fields).Info("new weights named")
+	v.controller.Wake()
 }
 
-// oldestNaming returns for how long the oldest naming of weights has not been in
-// force at all targets that stay.
-func (v *view) oldestNaming(now time.Time) time.Duration {
+// oldestPendingRollout returns for how long the oldest desired weights have not been loaded on
+// all targets; draining targets are left out.
+func (v *view) oldestPendingRollout(now time.Time) time.Duration {
 	oldest := time.Duration(0)
 	for model, services := range v.services() {
 		for _, service := range services {
@@ -176,73 +183,73 @@
 	return oldest
 }
 
-// TargetSet implements platform.View.
+// TargetSet implements platform.StateHandler.
 func (v *view) TargetSet(r fleet.Target, revision int64) {
-	if !v.known(r, revision) {
+	if !v.serviceKnown(r, revision) {
 		return
 	}
 	if !v.fleet.Put(r) {
-		v.log.WithFields(logrus.Fields{"event": "target_former", "target": r.ID, "born": r.Born}).Warn("the list tells of a life that has ended; it changes nothing")
+		v.log.WithFields(logrus.Fields{"event": "target_former", "target": r.ID, "born": r.Born}).Warn("the store lists an earlier start of the target; ignored")
 		return
 	}
 	v.mu.Lock()
-	v.stay(r.ID)
+	v.cancelRemoval(r.ID)
 	v.mu.Unlock()
-	v.log.WithFields(logrus.Fields{"event": "target_listed", "target": r.ID, "born": r.Born, "address": r.Address, "draining": r.Draining, "weights": r.Weights}).Info("the list says so")
+	v.log.WithFields(logrus.Fields{"event": "target_listed", "target": r.ID, "born": r.Born, "address": r.Address, "draining": r.Draining, "weights": r.Weights}).Info("target listed in the store")
 }
 
-// respite is how long after the store's return an entry that vanished meanwhile
-// may still come back; one missing then is gone.
-const respite = 1800 * time.Millisecond
+// recoveryGrace is how long after the store's recovery an entry that vanished during the
+// outage may reappear before its target is removed.
+const recoveryGrace = 1800 * time.Millisecond
 
-// reborn logs the first sign of a target's later life.
-func (v *view) reborn(now, former fleet.Instance) {
-	v.log.WithFields(logrus.Fields{"event": "target_reborn", "target": now.ID, "born": now.Born, "former": former.Born}).Info("the target started again; what was kept of its former life has ended")
-	v.holder.Wake()
-	v.verdicts.Table.RecordCrash(former, time.Now())
+// targetRestarted is called when a target is first known to have restarted.
+func (v *view) targetRestarted(current, previous fleet.Instance) {
+	v.log.WithFields(logrus.Fields{"event": "target_reborn", "target": current.ID, "born": current.Born, "former": previous.Born}).Info("the target restarted; the state of its earlier start is discarded")
+	v.controller.Wake()
+	v.verdicts.Table.RecordCrash(previous, time.Now())
 }
 
-// TargetRemoved implements platform.View. Entries lapse while the store can't be
-// written, so around an outage one that vanishes says nothing of its target,
-// whose own answers go on telling how it does.
+// TargetRemoved implements platform.StateHandler. Entries expire while the store can't be
+// written, so an entry that vanishes around an outage says nothing about its target, whose own
+// responses still show its state.
 func (v *view) TargetRemoved(id string) {
-	v.foreign.release(id)
-	v.foreign.forget(platform.TargetKey(id))
-	since, back := v.follower.SinceRecovery()
-	if !back || since >= respite {
-		v.drop(id)
+	v.rejected.removePending(id)
+	v.rejected.removeRecord(platform.TargetKey(id))
+	since, recovered := v.follower.SinceRecovery()
+	if !recovered || since >= recoveryGrace {
+		v.removeUnlisted(id)
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.lapsed[id] == nil {
-		v.lapsed[id] = time.AfterFunc(respite-since, func() { v.drop(id) })
+	if v.removalTimers[id] == nil {
+		v.removalTimers[id] = time.AfterFunc(recoveryGrace-since, func() { v.removeUnlisted(id) })
 	}
 }
 
-func (v *view) drop(id string) {
+func (v *view) removeUnlisted(id string) {
 	v.mu.Lock()
-	v.stay(id)
+	v.cancelRemoval(id)
 	v.mu.Unlock()
 	if last, ok := v.fleet.Remove(id); ok && !last.Draining {
-		// Of one that said nothing of leaving, answers that broke off just before are
-		// the sign of a crash: of a machine that fell silent there is no other.
+		// The target did not announce that it leaves, so responses that broke off shortly
+		// before are taken as a crash. A machine that went silent gives no other sign.
 		v.verdicts.Table.RecordCrash(last.Instance(), time.Now())
 	}
-	v.log.WithFields(logrus.Fields{"event": "target_gone", "target": id}).Info("the list lost the target")
+	v.log.WithFields(logrus.Fields{"event": "target_gone", "target": id}).Info("the target's entry is gone; target removed")
 }
 
-// stay ends a respite; the caller holds mu.
-func (v *view) stay(id string) {
-	if timer := v.lapsed[id]; timer != nil {
+// cancelRemoval stops the removal timer of a target; the caller holds mu.
+func (v *view) cancelRemoval(id string) {
+	if timer := v.removalTimers[id]; timer != nil {
 		timer.Stop()
-		delete(v.lapsed, id)
+		delete(v.removalTimers, id)
 	}
 }
 
-// TargetsListed implements platform.View.
+// TargetsListed implements platform.StateHandler.
 func (v *view) TargetsListed(ids map[string]bool) {
-	v.foreign.relisted(platform.TargetKey(""), func(key string) bool {
+	v.rejected.prune(platform.TargetKey(""), func(key string) bool {
 		id, _ := platform.ParseTargetKey(key)
 		return ids[id]
 	})
@@ -253,39 +260,40 @@
 	}
 }
 
-// SystemKeySet implements platform.View.
+// SystemKeySet implements platform.StateHandler.
 func (v *view) SystemKeySet(key, value string, revision int64) {
-	if key == v.keys.seat {
-		v.seated(value, revision)
+	if key == v.keys.leader {
+		v.leaderChanged(value, revision)
 		return
 	}
-	if key == v.keys.count {
-		v.counted(value, revision)
+	if key == v.keys.nodeCount {
+		v.setNodeCount(value, revision)
 		return
 	}
 	if content, ok, err := verdicts.ParseKey(key); ok {
-		v.verdict(key, value, revision, content, err)
+		v.receiveVerdict(key, value, revision, content, err)
 		return
 	}
 	if !strings.HasPrefix(key, v.keys.members) {
 		return
 	}
 	if value == "" {
-		v.foreign.forget(key)
-		v.enlist(key, "")
+		v.rejected.removeRecord(key)
+		v.setMember(key, "")
 		return
 	}
-	if fault := v.memberFault(key, value); fault != nil {
+	if fault := v.validateMember(key, value); fault != nil {
 		v.EntryRejected(platform.RejectedEntry{Key: key, Revision: revision, Err: fault})
 		return
 	}
-	v.enlist(key, value)
+	v.setMember(key, value)
 }
 
-// verdict takes what the store says of a verdict; an empty value is its end.
-func (v *view) verdict(key, value string, revision int64, content poison.Fingerprint, err error) {
+// receiveVerdict applies the stored verdict on a content; an empty value means that it was
+// deleted.
+func (v *view) receiveVerdict(key, value string, revision int64, content poison.Fingerprint, err error) {
 	if err == nil && value == "" {
-		v.foreign.forget(key)
+		v.rejected.removeRecord(key)
 		v.verdicts.MarkMissing(content)
 		return
 	}
@@ -296,78 +304,78 @@
 		v.EntryRejected(platform.RejectedEntry{Key: key, Revision: revision, Err: &platform.EntryError{Reason: platform.BadValue, Err: err}})
 		return
 	}
-	v.foreign.forget(key)
+	v.rejected.removeRecord(key)
 }
 
-// seated takes what the store says of the seat; an empty value is its end.
-func (v *view) seated(holder string, revision int64) {
-	if holder != "" && !isName(holder) {
-		v.EntryRejected(platform.RejectedEntry{Key: v.keys.seat, Revision: revision, Err: &platform.EntryError{Reason: platform.BadValue}})
+// leaderChanged applies the stored leader; an empty value means that there is none.
+func (v *view) leaderChanged(leader string, revision int64) {
+	if leader != "" && !isInstanceName(leader) {
+		v.EntryRejected(platform.RejectedEntry{Key: v.keys.leader, Revision: revision, Err: &platform.EntryError{Reason: platform.BadValue}})
 		return
 	}
-	v.foreign.forget(v.keys.seat)
-	v.seat.Observe(holder, revision)
-	v.holder.Wake()
+	v.rejected.removeRecord(v.keys.leader)
+	v.leaderLock.Observe(leader, revision)
+	v.controller.Wake()
 }
 
-// membersChanged has the plan worked out anew when it is next asked for: entries
-// that start together bring a hundred changes within a second. The caller holds mu.
+// membersChanged discards the cached plan; it is computed again when it is next needed, since
+// nodes that start together cause a hundred changes within a second. The caller holds mu.
 func (v *view) membersChanged() {
-	v.planned = nil
-	v.countMembers()
+	v.cachedPlan = nil
+	v.updateLimitMembers()
 	v.fleet.SetMembers(v.self, slices.Collect(maps.Keys(v.members)))
 }
 
-// plan returns what this node has to do with the others.
+// plan returns this node's peering plan.
 func (v *view) plan() peering.Plan {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.planned == nil {
+	if v.cachedPlan == nil {
 		p := peering.New(v.self, slices.Collect(maps.Values(v.members)))
-		v.planned = &p
-		v.logPlace(place{group: p.Group, groups: p.GroupCount, watches: p.Joined && p.Rank == 0})
+		v.cachedPlan = &p
+		v.logPosition(groupPosition{group: p.Group, groups: p.GroupCount, watches: p.Joined && p.Rank == 0})
 	}
-	return *v.planned
+	return *v.cachedPlan
 }
 
-// place is where a node stands among the others.
-type place struct {
+// groupPosition is a node's position among the groups.
+type groupPosition struct {
 	group, groups int
-	// watches is set where it watches the store for its group.
+	// watches is set if the node watches the store for its group.
 	watches bool
 }
 
-// logPlace logs a change of the node's place; the caller holds mu.
-func (v *view) logPlace(p place) {
-	if p == v.place {
+// logPosition logs a change of the node's position; the caller holds mu.
+func (v *view) logPosition(p groupPosition) {
+	if p == v.loggedPosition {
 		return
 	}
-	v.place = p
-	v.log.WithFields(logrus.Fields{"event": "grouped", "group": p.group, "groups": p.groups, "watches": p.watches}).Info("the entries are divided so")
+	v.loggedPosition = p
+	v.log.WithFields(logrus.Fields{"event": "grouped", "group": p.group, "groups": p.groups, "watches": p.watches}).Info("position among the groups changed")
 }
 
-// SystemKeysListed implements platform.View.
+// SystemKeysListed implements platform.StateHandler.
 func (v *view) SystemKeysListed(keys map[string]bool, revision int64) {
-	v.foreign.relisted(platform.SystemPrefix, func(key string) bool { return keys[key] })
+	v.rejected.prune(platform.SystemPrefix, func(key string) bool { return keys[key] })
 	v.verdicts.Reconcile(keys)
-	if !keys[v.keys.seat] {
-		v.seat.Observe("", revision)
+	if !keys[v.keys.leader] {
+		v.leaderLock.Observe("", revision)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !keys[v.keys.count] {
-		v.count.stored, v.count.revision = 0, 0
+	if !keys[v.keys.nodeCount] {
+		v.nodeCount.stored, v.nodeCount.revision = 0, 0
 	}
 	for key := range v.members {
 		if !keys[key] {
-			v.unlist(key)
+			v.removeMember(key)
 		}
 	}
 	v.membersChanged()
 }
 
-// others returns how many other nodes serve.
-func (v *view) others() int {
+// otherCount returns how many other nodes serve.
+func (v *view) otherCount() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	n := len(v.members)
