--- a/verdicts/entry.go
+++ b/verdicts/entry.go
@@ -9,7 +9,7 @@
 	"acaciakeel/store"
 )
 
-// Key returns the key under which the store has the verdict on a content.
+// Key returns the store key of the verdict on a content.
 func Key(content poison.Fingerprint) string {
 	return platform.VerdictPrefix + content.String()
 }
@@ -24,7 +24,7 @@
 	return content, true, err
 }
 
-// Decode reads the verdict of an entry below platform.VerdictPrefix.
+// Decode decodes the verdict in an entry below platform.VerdictPrefix.
 func Decode(e store.Entry, now time.Time) (poison.Verdict, error) {
 	content, _, err := ParseKey(e.Key)
 	if err != nil {
--- /dev/null
+++ b/verdicts/syncer.go
@@ -0,0 +1,237 @@
+// Package verdicts synchronizes verdicts on request contents that crash targets with the
+// platform's store. Starting entries load them from there, and operators can view and lift
+// them.
+package verdicts
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/sirupsen/logrus"
+
+	"acaciakeel/clock"
+	"acaciakeel/fleet"
+	"acaciakeel/poison"
+	"acaciakeel/rollout"
+	"acaciakeel/store"
+	"acaciakeel/telemetry"
+)
+
+// Syncer synchronizes the verdicts of one process with the store, and logs and counts their
+// changes. Without the stored verdicts, a known content could crash three more targets for
+// each starting entry, also when all entries start at once.
+type Syncer struct {
+	// Table holds the process's verdicts and suspicions.
+	Table *poison.Table
+	// Leadership tells whether this process writes verdicts for processes that have ended.
+	// PublishNow sends pending reports to the other entries at once. Both must be set before
+	// the syncer is used.
+	Leadership rollout.Leadership
+	PublishNow func()
+	store      store.Store
+	log        logrus.FieldLogger
+	changes    *prometheus.CounterVec
+	// retryAt is the earliest time for the next call after a failed one. Only the goroutine
+	// of Run uses it.
+	retryAt time.Time
+
+	mu sync.Mutex
+	// stored are the verdicts in the store.
+	stored map[poison.Fingerprint]storedVerdict
+}
+
+// storedVerdict is the revision of a stored verdict and the time of its end.
+type storedVerdict struct {
+	revision int64
+	end      time.Time
+}
+
+// Intervals and limits of synchronization.
+const (
+	// syncInterval is how often pending writes are looked for, and callTimeout bounds one
+	// call of the store.
+	syncInterval = 250 * time.Millisecond
+	callTimeout  = time.Second
+	// retryDelay is the pause after a failed call of the store.
+	retryDelay = time.Second
+	// maxStored limits the verdicts in the store, which take about 300 bytes each. Starting
+	// entries learn of any others only from crashes they observe themselves.
+	maxStored = 512
+	// retention is how long a verdict stays in the store after its end, for entries that
+	// could not reach the store.
+	retention = time.Minute
+)
+
+// NewSyncer returns a syncer with an empty table.
+func NewSyncer(s store.Store, r *prometheus.Registry, log logrus.FieldLogger) *Syncer {
+	k := &Syncer{store: s, log: log, stored: map[poison.Fingerprint]storedVerdict{}}
+	k.changes = telemetry.NewCounter(r, "keel_node_contents_total", "Contents of requests under which targets ended, by what became of them here.", "what")
+	k.Table = poison.New(k.onChange)
+	return k
+}
+
+// onChange counts and logs a change, and publishes it at once if it is a repeated crash that
+// this process observed. The table does not report suspicions that come from peers; the
+// process that observed the crash logs them.
+func (k *Syncer) onChange(c poison.Change) {
+	k.changes.WithLabelValues(string(c.Kind)).Inc()
+	if c.Origin == poison.OriginLocal && c.Crashes > 1 {
+		k.PublishNow()
+	}
+	fields := logrus.Fields{
+		"event": "content_" + string(c.Kind), "content": c.Content.String(), "service": c.Service, "customer": c.Customer,
+		"request": c.Request, "origin": c.Origin, "ends": c.Crashes,
+	}
+	if c.Target != (fleet.Instance{}) {
+		fields["target"], fields["born"] = c.Target.ID, c.Target.Born
+	}
+	if !c.Until.IsZero() {
+		fields["until"] = c.Until.UTC().Format(time.RFC3339)
+	}
+	k.log.WithFields(fields).Info(changeMessages[c.Kind])
+}
+
+var changeMessages = map[poison.ChangeKind]string{
+	poison.Suspected: "a target crashed while serving this content; its requests are isolated from now on",
+	poison.Convicted: "requests with this content are refused",
+	poison.Cleared:   "content was served; its earlier crashes no longer count",
+	poison.Lifted:    "verdict was lifted in the store",
+	poison.Expired:   "verdict expired; requests with this content are isolated, and one more crash renews the verdict",
+	poison.Dropped:   "too many contents are tracked; this one was dropped",
+}
+
+// Run writes pending verdicts, and as leader removes expired ones, until ctx ends.
+func (k *Syncer) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		clock.Sleep(ctx, syncInterval)
+		now := time.Now()
+		k.Table.Sweep(now)
+		if now.Before(k.retryAt) {
+			continue
+		}
+		_, leader := k.Leadership.Held()
+		for _, verdict := range k.Table.PendingWrites(leader, now) {
+			k.write(ctx, verdict)
+		}
+		if leader {
+			k.removeExpired(ctx, now)
+		}
+	}
+}
+
+func (k *Syncer) write(ctx context.Context, verdict poison.Verdict) {
+	k.mu.Lock()
+	full := verdict.Revision == 0 && len(k.stored) >= maxStored
+	k.mu.Unlock()
+	if full {
+		return
+	}
+	value, err := verdict.Encode()
+	if err != nil {
+		k.log.WithError(err).WithField("event", "verdict_unwritten").Error("cannot encode the verdict; starting entries will not load it")
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	revision, err := k.store.Put(ctx, Key(verdict.Content), value, verdict.Revision, "")
+	switch {
+	case err == nil:
+		k.Table.MarkWritten(verdict, revision)
+	case errors.Is(err, store.ErrConflict):
+		k.reload(ctx, verdict.Content)
+	default:
+		// The write is retried; until then the verdict is in force in this process.
+		k.retryAt = time.Now().Add(retryDelay)
+		k.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unwritten", "content": verdict.Content.String()}).Warn("failed to store the verdict; retrying")
+	}
+}
+
+// reload applies the verdict that another process has written.
+func (k *Syncer) reload(ctx context.Context, content poison.Fingerprint) {
+	entry, err := k.store.Get(ctx, Key(content))
+	if errors.Is(err, store.ErrNotFound) {
+		k.MarkMissing(content)
+		return
+	}
+	if err != nil {
+		k.retryAt = time.Now().Add(retryDelay)
+		k.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unread", "content": content.String()}).Warn("failed to read the verdict that another process wrote")
+		return
+	}
+	if err := k.ApplyStored(content, entry.Value, entry.Revision); err != nil {
+		k.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unread", "content": content.String()}).Warn("cannot decode the verdict that another process wrote")
+	}
+}
+
+// ApplyStored applies a verdict read from the store.
+func (k *Syncer) ApplyStored(content poison.Fingerprint, value []byte, revision int64) error {
+	now := time.Now()
+	verdict, err := poison.DecodeVerdict(content, value, revision, now)
+	if err != nil {
+		return err
+	}
+	until := verdict.Until
+	if verdict.Lifted {
+		until = now
+	}
+	k.mu.Lock()
+	k.stored[content] = storedVerdict{revision: revision, end: until}
+	k.mu.Unlock()
+	k.Table.ApplyStored(verdict, now)
+	return nil
+}
+
+// MarkMissing records that the store no longer has a verdict. This does not lift it: a
+// verdict expires by its own time, and the store may have lost it.
+func (k *Syncer) MarkMissing(content poison.Fingerprint) {
+	k.mu.Lock()
+	delete(k.stored, content)
+	k.mu.Unlock()
+	k.Table.MarkMissing(content)
+}
+
+// Reconcile marks the verdicts missing whose keys are not in a listing of the system's own
+// keys.
+func (k *Syncer) Reconcile(keys map[string]bool) {
+	k.mu.Lock()
+	var missing []poison.Fingerprint
+	for content := range k.stored {
+		if !keys[Key(content)] {
+			missing = append(missing, content)
+		}
+	}
+	k.mu.Unlock()
+	for _, content := range missing {
+		k.MarkMissing(content)
+	}
+}
+
+// removeExpired deletes stored verdicts whose retention is over.
+func (k *Syncer) removeExpired(ctx context.Context, now time.Time) {
+	k.mu.Lock()
+	expired := map[poison.Fingerprint]int64{}
+	for content, v := range k.stored {
+		if now.Sub(v.end) > retention {
+			expired[content] = v.revision
+		}
+	}
+	k.mu.Unlock()
+	for content, revision := range expired {
+		k.remove(ctx, content, revision)
+	}
+}
+
+func (k *Syncer) remove(ctx context.Context, content poison.Fingerprint, revision int64) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	_, err := k.store.Delete(ctx, Key(content), revision)
+	if err != nil && !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrNotFound) {
+		k.retryAt = time.Now().Add(retryDelay)
+		k.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unwritten", "content": content.String()}).Warn("failed to remove an expired verdict from the store; retrying")
+		return
+	}
+	k.MarkMissing(content)
+}
