--- a/door/conns.go
+++ b/door/conns.go
@@ -10,50 +10,50 @@
 	"github.com/sirupsen/logrus"
 )
 
-// conns are a door's open connections.
-type conns struct {
-	watch Telemetry
+// connSet holds a server's open connections.
+type connSet struct {
+	telemetry Telemetry
 
 	mu       sync.Mutex
 	open     map[*conn]struct{}
 	accepted int
-	// ending is when the door's end began.
-	ending time.Time
+	// closingSince is when the shutdown began to close idle connections; zero before.
+	closingSince time.Time
 }
 
-// conn is one connection. Whether a request on it is owed an answer follows
-// from what passed over it: the HTTP server's own states change some time after
-// the bytes were read, and a connection that is closed in between leaves its
-// client with a whole request and nothing.
+// conn is one connection. Whether a request on it still needs a response is derived from the
+// bytes read and written. net/http's own connection states change some time after the bytes
+// were read; a connection closed in between leaves its client with a complete request and no
+// response.
 type conn struct {
 	net.Conn
-	conns *conns
+	conns *connSet
 
 	accepted time.Time
 	// The fields below are guarded by conns.mu.
 	readAt time.Time
-	// owed are the bytes read since something was last written.
-	owed int
-	// serving is set while the server works on a request.
-	serving bool
-	// head are the first bytes that came, as many as tell HTTP/2.
-	head []byte
-	// framed is set for HTTP/2, where bytes also come that need no answer, and
-	// whose own end tells the client which requests were taken.
-	framed bool
-	// left is set once the client has ended its side.
-	left bool
-	// hung is set while an idle connection has its last time, last; looks counts
-	// how often that was repeated.
-	hung  bool
-	last  lastWait
-	looks int
-	// answering is set from the first byte of an answer to the end of its request:
-	// what the server still reads of that is owed nothing.
+	// unanswered is the number of bytes read since something was last written.
+	unanswered int
+	// active is set while the server handles a request.
+	active bool
+	// preface holds the first bytes received, as many as are needed to detect HTTP/2.
+	preface []byte
+	// http2 is set for HTTP/2. Some of its frames need no response, and its own shutdown
+	// tells the client which requests were accepted.
+	http2 bool
+	// clientClosed is set once the client has closed its side.
+	clientClosed bool
+	// idleLimited is set while an idle connection has its final read deadline, deadline.
+	// retries counts how often that was extended.
+	idleLimited bool
+	deadline    readDeadline
+	retries     int
+	// answering is set from the first byte of a response to the end of its request: what the
+	// server still reads of that request needs no response.
 	answering bool
 }
 
-func (s *conns) add(c net.Conn) *conn {
+func (s *connSet) add(c net.Conn) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	added := &conn{Conn: c, conns: s, accepted: time.Now()}
@@ -62,7 +62,7 @@
 	return added
 }
 
-// http2Preface begins each connection of HTTP/2.
+// http2Preface starts each HTTP/2 connection.
 var http2Preface = []byte("PRI * HTTP/2")
 
 // Read implements net.Conn.
@@ -70,69 +70,69 @@
 	for {
 		entered := time.Now()
 		n, err := c.Conn.Read(p)
-		if n == 0 && isTimeout(err) && c.lookAgain(entered, time.Now()) {
+		if n == 0 && isTimeout(err) && c.extendDeadline(entered, time.Now()) {
 			continue
 		}
 		c.conns.mu.Lock()
 		defer c.conns.mu.Unlock()
 		if n > 0 {
-			c.took(p[:n], time.Now())
+			c.received(p[:n], time.Now())
 		}
 		if err != nil && !isTimeout(err) {
-			c.left = true
+			c.clientClosed = true
 		}
 		return n, err
 	}
 }
 
-// lookAgain reports whether an idle connection whose last time is over is to be
-// read once more, because the time-out does not tell that nothing had come.
-func (c *conn) lookAgain(entered, now time.Time) bool {
+// extendDeadline reports whether an idle connection is to be read again after its final
+// deadline, because the timeout does not prove that no data had arrived.
+func (c *conn) extendDeadline(entered, now time.Time) bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	if !c.hung || c.last.sound(entered, now) {
+	if !c.idleLimited || c.deadline.conclusive(entered, now) {
 		return false
 	}
-	c.wait(now, lookFor<<min(c.looks, longestLook))
-	c.looks++
+	c.setDeadline(now, retryWait<<min(c.retries, maxDoublings))
+	c.retries++
 	return true
 }
 
-// wait gives an idle connection a last time; the caller holds conns.mu.
-func (c *conn) wait(now time.Time, d time.Duration) {
-	c.last = lastWait{armed: now, until: now.Add(d)}
-	// A connection that fails here has ended already.
-	_ = c.Conn.SetReadDeadline(c.last.until)
+// setDeadline sets the final read deadline of an idle connection; the caller holds conns.mu.
+func (c *conn) setDeadline(now time.Time, d time.Duration) {
+	c.deadline = readDeadline{armed: now, until: now.Add(d)}
+	// This only fails on a connection that is already closed.
+	_ = c.Conn.SetReadDeadline(c.deadline.until)
 }
 
-// took notes bytes that came; the caller holds conns.mu.
-func (c *conn) took(p []byte, now time.Time) {
-	if missing := len(http2Preface) - len(c.head); missing > 0 {
-		c.head = append(c.head, p[:min(missing, len(p))]...)
-		c.framed = bytes.Equal(c.head, http2Preface)
+// received records received bytes; the caller holds conns.mu.
+func (c *conn) received(p []byte, now time.Time) {
+	if missing := len(http2Preface) - len(c.preface); missing > 0 {
+		c.preface = append(c.preface, p[:min(missing, len(p))]...)
+		c.http2 = bytes.Equal(c.preface, http2Preface)
 	}
-	c.unhang()
-	c.owed += len(p)
+	c.clearDeadline()
+	c.unanswered += len(p)
 	c.readAt = now
 }
 
-// unhang ends the last time of a connection on which a request has come, whose
-// rest may take as long as it needs: it would be cut in the middle, or be told
-// that its client has left. The caller holds conns.mu.
-func (c *conn) unhang() {
-	if c.hung {
-		c.hung = false
+// clearDeadline removes the final read deadline once a request has arrived, whose rest may
+// take as long as it needs. Otherwise the request would be cut off, or its context cancelled
+// as if the client had left. The caller holds conns.mu.
+func (c *conn) clearDeadline() {
+	if c.idleLimited {
+		c.idleLimited = false
 		_ = c.Conn.SetReadDeadline(time.Time{})
 	}
 }
 
-// SetReadDeadline implements net.Conn. The server gives each connection that
-// becomes idle its idle timeout; once the door ends, it gets less.
+// SetReadDeadline implements net.Conn. The server calls it with its idle timeout when a
+// connection becomes idle; during a shutdown a shorter one applies.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	c.hang(time.Now())
-	if c.hung {
+	c.limitIdle(time.Now())
+	if c.idleLimited {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -141,7 +141,7 @@
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
 	c.conns.mu.Lock()
-	c.owed, c.answering = 0, true
+	c.unanswered, c.answering = 0, true
 	c.conns.mu.Unlock()
 	return c.Conn.Write(p)
 }
@@ -152,39 +152,39 @@
 	return c.Conn.Close()
 }
 
-// Figures of connections at the end of a door.
+// Timeouts of connections during a shutdown.
 const (
-	// idleEnd is for how long an idle connection may still bring a request. It is
-	// ended by the time-out of a read, which has read nothing: a connection closed
-	// from outside may just have been read.
-	idleEnd = 50 * time.Millisecond
-	// firstBytes is for how long a new connection is waited for: its client opened
-	// it to send a request, whose bytes were seen to take 0.7 s over a busy link.
-	firstBytes = 2 * time.Second
+	// idleGrace is how long an idle connection may still receive a request. It ends by a
+	// read timeout, after which nothing has been read; closing the connection directly could
+	// discard a request that was just read.
+	idleGrace = 50 * time.Millisecond
+	// firstByteGrace is how long a new connection is kept without data: its client opened it
+	// to send a request, whose bytes can take 0.7 s over a busy link.
+	firstByteGrace = 2 * time.Second
 )
 
-// idle reports whether a connection waits for its client's next request, and
-// nobody for an answer on it; the caller holds conns.mu.
+// idle reports whether a connection waits for its client's next request and has no response
+// pending; the caller holds conns.mu.
 func (c *conn) idle(now time.Time) bool {
-	if c.serving || c.framed {
+	if c.active || c.http2 {
 		return false
 	}
-	fresh := c.readAt.IsZero() && now.Sub(c.accepted) < firstBytes
-	return c.left || (!fresh && c.owed == 0)
+	fresh := c.readAt.IsZero() && now.Sub(c.accepted) < firstByteGrace
+	return c.clientClosed || (!fresh && c.unanswered == 0)
 }
 
-// hang gives an idle connection its last time, once, if the door ends; the caller
-// holds conns.mu.
-func (c *conn) hang(now time.Time) {
-	if c.conns.ending.IsZero() || c.hung || !c.idle(now) {
+// limitIdle sets the final read deadline of an idle connection, once, during a shutdown; the
+// caller holds conns.mu.
+func (c *conn) limitIdle(now time.Time) {
+	if c.conns.closingSince.IsZero() || c.idleLimited || !c.idle(now) {
 		return
 	}
-	c.hung = true
-	c.wait(now, idleEnd)
+	c.idleLimited = true
+	c.setDeadline(now, idleGrace)
 }
 
-// CloseWrite ends the sending side, as the server does after an answer that
-// leaves a part of the request unread.
+// CloseWrite closes the sending side, which the server does after a response that leaves a
+// part of the request unread.
 func (c *conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -192,75 +192,74 @@
 	return nil
 }
 
-// note takes the HTTP server's state of a connection.
-func (s *conns) note(nc net.Conn, state http.ConnState) {
+// onStateChange receives the HTTP server's state of a connection.
+func (s *connSet) onStateChange(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.serving = state == http.StateActive
+	c.active = state == http.StateActive
 	if state == http.StateActive || state == http.StateIdle {
 		c.answering = false
 	}
-	if c.serving {
-		// Its request may have been read along with the one before.
-		c.unhang()
+	if c.active {
+		// The request may have been read together with the previous one.
+		c.clearDeadline()
 	}
 }
 
-// remove notes the end of a connection. One that ends with a request read and
-// the client still there is a request lost: that is logged and counted.
-func (s *conns) remove(c *conn) {
-	fields := s.take(c)
+// remove removes a closed connection. A connection that closes with a request read, no
+// response written and the client still connected has lost a request, which is logged and
+// counted.
+func (s *connSet) remove(c *conn) {
+	fields := s.takeOut(c)
 	if fields == nil {
 		return
 	}
-	if s.watch.Unanswered != nil {
-		s.watch.Unanswered.Inc()
+	if s.telemetry.Unanswered != nil {
+		s.telemetry.Unanswered.Inc()
 	}
-	s.watch.Log.WithFields(fields).Warn("a connection was closed after bytes had come to which nothing was answered")
+	s.telemetry.Log.WithFields(fields).Warn("connection closed after a request was received and before a response was sent")
 }
 
-// take takes a connection out, and returns what is to be said of it if a request
-// is lost with it.
-func (s *conns) take(c *conn) logrus.Fields {
+// takeOut removes a connection, and returns the log fields if a request is lost with it.
+func (s *connSet) takeOut(c *conn) logrus.Fields {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, open := s.open[c]
 	delete(s.open, c)
-	if !open || c.owed == 0 || c.framed || c.left || c.answering {
+	if !open || c.unanswered == 0 || c.http2 || c.clientClosed || c.answering {
 		return nil
 	}
 	fields := logrus.Fields{
-		"event": "unanswered", "client": c.RemoteAddr().String(), "read_bytes": c.owed,
+		"event": "unanswered", "client": c.RemoteAddr().String(), "read_bytes": c.unanswered,
 		"age_ms": time.Since(c.accepted).Milliseconds(), "quiet_ms": time.Since(c.readAt).Milliseconds(),
 	}
-	if !s.ending.IsZero() {
-		fields["ending_ms"] = time.Since(s.ending).Milliseconds()
+	if !s.closingSince.IsZero() {
+		fields["ending_ms"] = time.Since(s.closingSince).Milliseconds()
 	}
 	return fields
 }
 
-// tally is how the connections stand.
-type tally struct {
-	accepted, open, framed, idle int
+// connCounts holds numbers of connections.
+type connCounts struct {
+	accepted, open, http2, idle int
 }
 
-// tally counts the connections, and gives those that became idle their last
-// time once the door ends. Clients take that for a word to connect anew, to a
-// process that serves; a request that comes here late may have to be refused,
-// which costs one of their attempts.
-func (s *conns) tally() tally {
+// counts counts the connections, and during a shutdown sets the final deadline of those that
+// became idle. Their clients then reconnect to a process that still serves; a request that
+// arrives here too late may be refused, which costs the client one of its attempts.
+func (s *connSet) counts() connCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := tally{accepted: s.accepted, open: len(s.open)}
+	t := connCounts{accepted: s.accepted, open: len(s.open)}
 	now := time.Now()
 	for c := range s.open {
-		c.hang(now)
-		if c.framed {
-			t.framed++
+		c.limitIdle(now)
+		if c.http2 {
+			t.http2++
 		} else if c.idle(now) {
 			t.idle++
 		}
@@ -268,13 +267,13 @@
 	return t
 }
 
-func (t tally) fields(event string) logrus.Fields {
+func (t connCounts) fields(event string) logrus.Fields {
 	return logrus.Fields{"event": event, "accepted": t.accepted, "open": t.open, "idle": t.idle}
 }
 
-// end begins the end of idle connections.
-func (s *conns) end() {
+// startClosing starts to close idle connections.
+func (s *connSet) startClosing() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ending = time.Now()
+	s.closingSince = time.Now()
 }
--- a/door/door.go
+++ b/door/door.go
@@ -1,12 +1,11 @@
-// Package door serves HTTP at an address and ends in order: each request that
-// was read gets its answer, and no connection is closed while one may be on it.
+// Package door serves HTTP and shuts down gracefully: every request that was read gets a
+// response, and no connection is closed while a request may be on it.
 //
-// The HTTP server's own shutdown does not do that. It looks at whether it shuts
-// down after it has read a request's head, and ends the connection without a
-// word; it closes connections by states that change some time after bytes were
-// read; and it closes its listener with connections waiting in the kernel's
-// queue. Where clients keep coming, each of these leaves a client that has sent
-// a whole request with neither an answer nor a refusal.
+// http.Server.Shutdown does not guarantee that. It checks for a shutdown after reading a
+// request's header and then closes the connection without a response; it closes connections
+// by states that change some time after the bytes were read; and it closes the listener
+// while connections wait in the kernel's accept queue. Under constant load, each of these
+// leaves a client that has sent a complete request without any response.
 package door
 
 import (
@@ -22,32 +21,32 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Telemetry is where a door tells of itself.
+// Telemetry is where a Server logs and counts.
 type Telemetry struct {
 	Log logrus.FieldLogger
-	// Unanswered, where set, counts connections closed with a request read and
-	// nothing answered.
+	// Unanswered, if set, counts connections that were closed after a request was read and
+	// before a response was sent.
 	Unanswered prometheus.Counter
 }
 
-// Server is one address that is served.
+// Server serves HTTP at one address.
 type Server struct {
 	server   *http.Server
 	listener *listener
-	conns    *conns
-	// closed ends once the listener has.
+	conns    *connSet
+	// closed is closed once the listener is.
 	closed chan struct{}
 }
 
-// Start serves an address with a server, whose ConnState the door takes over.
+// Start listens on an address and serves it with server, whose ConnState it replaces.
 func Start(address string, server *http.Server, w Telemetry) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("listen: %w; another process may hold the port", err)
+		return nil, fmt.Errorf("listen: %w; another process may be using the port", err)
 	}
-	s := &conns{watch: w, open: map[*conn]struct{}{}}
+	s := &connSet{telemetry: w, open: map[*conn]struct{}{}}
 	d := &Server{server: server, conns: s, closed: make(chan struct{}), listener: &listener{TCPListener: l.(*net.TCPListener), conns: s}}
-	server.ConnState = s.note
+	server.ConnState = s.onStateChange
 	go func() {
 		defer close(d.closed)
 		_ = server.Serve(d.listener)
@@ -55,75 +54,74 @@
 	return d, nil
 }
 
-// Address returns IP:PORT.
+// Address returns the listening address as IP:PORT.
 func (d *Server) Address() string {
 	return d.listener.Addr().String()
 }
 
-// Close ends the door at once.
+// Close closes the server and all connections at once.
 func (d *Server) Close() error {
 	return d.server.Close()
 }
 
-// ShutdownOptions is how a door ends.
+// ShutdownOptions are the options of Shutdown.
 type ShutdownOptions struct {
-	// AnswerDeadline is until when requests may take; then Interrupt is called, upon
-	// which each request still served is to get its last answer.
+	// AnswerDeadline is when requests must have been answered. Interrupt is called then; it
+	// must make each request still in progress send its final response.
 	AnswerDeadline time.Time
 	Interrupt      func()
-	// Deadline is when the door ends in any case.
+	// Deadline is when the server closes in any case.
 	Deadline time.Time
 }
 
-// look is the pause between two looks at the connections: short beside the time
-// that an idle one still gets.
-const look = 20 * time.Millisecond
+// pollInterval is the interval between checks of the connections. It is short compared with
+// idleGrace.
+const pollInterval = 20 * time.Millisecond
 
-// Shutdown ends the door in order and reports whether all requests were answered in
-// their own time. New connections are refused from now on, which a balancer takes
-// for a word to try another process; what has come on open ones, or is on its
-// way on new ones, is served.
-func (d *Server) Shutdown(e ShutdownOptions) bool {
-	d.listener.end()
+// Shutdown shuts the server down and reports whether all requests were answered before
+// AnswerDeadline. New connections are refused from now on, which makes a load balancer try
+// another process. Requests on open connections and on those in the accept queue are served.
+func (d *Server) Shutdown(options ShutdownOptions) bool {
+	d.listener.drain()
 	<-d.closed
-	d.conns.end()
-	d.tell("door_closed", "no new connections are taken")
-	whole := d.await(e.AnswerDeadline, func(t tally) bool { return t.open == t.framed })
-	if whole {
-		whole = d.endFramed(e.AnswerDeadline)
+	d.conns.startClosing()
+	d.logCounts("door_closed", "listener closed; no new connections are accepted")
+	complete := d.await(options.AnswerDeadline, func(t connCounts) bool { return t.open == t.http2 })
+	if complete {
+		complete = d.shutdownHTTP2(options.AnswerDeadline)
 	}
-	if !whole {
-		d.tell("interrupted", "requests are given up: the time for answers is over")
-		e.Interrupt()
-		if d.await(e.Deadline, func(t tally) bool { return t.open == t.framed }) {
-			d.endFramed(e.Deadline)
+	if !complete {
+		d.logCounts("interrupted", "interrupting requests: the answer deadline has passed")
+		options.Interrupt()
+		if d.await(options.Deadline, func(t connCounts) bool { return t.open == t.http2 }) {
+			d.shutdownHTTP2(options.Deadline)
 		}
 	}
 	_ = d.server.Close()
-	return whole
+	return complete
 }
 
-func (d *Server) tell(event, what string) {
-	d.conns.watch.Log.WithFields(d.conns.tally().fields(event)).Info(what)
+func (d *Server) logCounts(event, what string) {
+	d.conns.telemetry.Log.WithFields(d.conns.counts().fields(event)).Info(what)
 }
 
-// endFramed ends the connections of HTTP/2, where the server tells the client
-// which requests it took. There must be no others: those the server would end
-// in the middle of a request.
-func (d *Server) endFramed(until time.Time) bool {
+// shutdownHTTP2 closes the HTTP/2 connections, where the server tells the client which
+// requests it accepted. There must be no other connections: the server would close those in
+// the middle of a request.
+func (d *Server) shutdownHTTP2(until time.Time) bool {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	return d.server.Shutdown(ctx) == nil
 }
 
-// await looks at the connections until they are as wanted or a time has come,
-// and reports whether they are.
-func (d *Server) await(until time.Time, wanted func(tally) bool) bool {
+// await polls the connections until done reports true or a deadline has passed, and reports
+// whether it became true.
+func (d *Server) await(until time.Time, done func(connCounts) bool) bool {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
-	ticker := time.NewTicker(look)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for !wanted(d.conns.tally()) {
+	for !done(d.conns.counts()) {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -133,19 +131,18 @@
 	return true
 }
 
-// listener hands out connections that the door knows.
+// listener adds accepted connections to conns.
 type listener struct {
 	*net.TCPListener
-	conns *conns
+	conns *connSet
 
 	mu sync.Mutex
-	// bound is until when connections are handed out though they never pause;
-	// zero until the end begins.
-	bound time.Time
-	// last is how long the next one is waited for, late how many such waits there
-	// were beyond the bound.
-	last lastWait
-	late int
+	// drainUntil is when accepting ends even if connections keep arriving without a pause;
+	// zero before the shutdown.
+	drainUntil time.Time
+	// deadline is the current accept deadline. lateWaits counts the waits after drainUntil.
+	deadline  readDeadline
+	lateWaits int
 }
 
 // Accept implements net.Listener.
@@ -154,7 +151,7 @@
 		entered := time.Now()
 		c, err := l.AcceptTCP()
 		if err == nil {
-			l.more(time.Now())
+			l.extend(time.Now())
 			return l.conns.add(c), nil
 		}
 		if !isTimeout(err) {
@@ -166,85 +163,84 @@
 	}
 }
 
-// Figures of the end of a listener.
+// Limits of draining the listener.
 const (
-	// queueEmpty is for how long no connection came out of the kernel's queue once
-	// the queue is taken for empty; one that waits there is handed out at once, so
-	// this only covers the scheduler of a small machine.
+	// queueEmpty is the time without a new connection after which the accept queue counts as
+	// empty. Waiting connections are returned at once, so this only covers scheduling delays
+	// on a small VM.
 	queueEmpty = 10 * time.Millisecond
-	// queueBound is for how long at most: beyond some hundred connections a second
-	// there may never be such a pause.
+	// queueBound limits the draining: above some hundred connections a second such a pause
+	// may never occur.
 	queueBound = 300 * time.Millisecond
-	// lateWaits is how many waits are repeated beyond that, for a process that
-	// stood still over it.
-	lateWaits = 3
+	// maxLateWaits is how many waits are repeated after queueBound, for a process that was
+	// stalled.
+	maxLateWaits = 3
 )
 
-// end makes the listener hand out what waits in the kernel's queue, and then
-// end: connections left there would be reset with whole requests on them.
-func (l *listener) end() {
+// drain makes the listener accept what waits in the accept queue and then close. Connections
+// left there would be reset with complete requests on them.
+func (l *listener) drain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.bound = now.Add(queueBound)
-	l.wait(now)
+	l.drainUntil = now.Add(queueBound)
+	l.setDeadline(now)
 }
 
-// more waits for the next connection once the end has begun.
-func (l *listener) more(now time.Time) {
+// extend extends the accept deadline while the listener is drained.
+func (l *listener) extend(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.bound.IsZero() && now.Before(l.bound) {
-		l.wait(now)
+	if !l.drainUntil.IsZero() && now.Before(l.drainUntil) {
+		l.setDeadline(now)
 	}
 }
 
-// empty reports whether the queue is empty, after a wait that timed out. One that
-// does not tell so is repeated.
+// empty reports whether the queue is empty after a timeout. An inconclusive wait is
+// repeated.
 func (l *listener) empty(entered, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.After(l.bound) {
-		l.late++
+	if now.After(l.drainUntil) {
+		l.lateWaits++
 	}
-	if l.last.sound(entered, now) || l.late > lateWaits {
+	if l.deadline.conclusive(entered, now) || l.lateWaits > maxLateWaits {
 		return true
 	}
-	l.wait(now)
+	l.setDeadline(now)
 	return false
 }
 
-// wait bounds the next wait for a connection; the caller holds mu.
-func (l *listener) wait(now time.Time) {
-	l.last = lastWait{armed: now, until: now.Add(queueEmpty)}
-	// A listener that can't be given a time has ended already.
-	_ = l.SetDeadline(l.last.until)
+// setDeadline sets the accept deadline; the caller holds mu.
+func (l *listener) setDeadline(now time.Time) {
+	l.deadline = readDeadline{armed: now, until: now.Add(queueEmpty)}
+	// This only fails on a listener that is already closed.
+	_ = l.SetDeadline(l.deadline.until)
 }
 
-// lastWait is a wait for something from the kernel that ends with a time-out. The
-// runtime asks the kernel at the beginning of a wait and then waits to be told.
-// After a time it says "timed out" without asking again: a process that stood
-// still meanwhile, as one does whose quota of the processor is used up, would
-// take what came in that time for not there.
-type lastWait struct {
+// readDeadline is a deadline for a read or an accept. The runtime polls the kernel when the
+// call starts and then waits for a notification. When the deadline passes it returns a
+// timeout without polling again, so a process that was stalled meanwhile, for example by its
+// CPU quota, would miss data that arrived in that time.
+type readDeadline struct {
 	armed, until time.Time
 }
 
-// Figures of last waits.
+// Timing of repeated waits.
 const (
-	// lookFor is how long a repeated wait lasts: it asks at its beginning. It grows
-	// by factors of two, longestLook of them, for a process that is always late.
-	lookFor     = 10 * time.Millisecond
-	longestLook = 6
-	// punctual is how late a time-out is seen by a process that did not stand still.
-	punctual = 2 * time.Millisecond
+	// retryWait is the length of a repeated wait, which polls when it starts. It doubles
+	// with each retry, at most maxDoublings times, for a process that is always late.
+	retryWait    = 10 * time.Millisecond
+	maxDoublings = 6
+	// maxLateness is how late a process that was not stalled sees a timeout.
+	maxLateness = 2 * time.Millisecond
 )
 
-// sound reports whether a call that was entered at a moment and has timed out
-// now tells that nothing was there: it asked the kernel under this wait, and was
-// told of its end in time.
-func (w lastWait) sound(entered, now time.Time) bool {
-	return !entered.Before(w.armed) && entered.Before(w.until) && now.Sub(w.until) < punctual
+// conclusive reports whether a call that started at entered and has just timed out proves
+// that nothing was there: it polled the kernel under this deadline, and the timeout was seen
+// in time.
+func (w readDeadline) conclusive(entered, now time.Time) bool {
+	return !entered.Before(w.armed) && entered.Before(w.until) && now.Sub(w.until) < maxLateness
 }
 
 func isTimeout(err error) bool {
--- a/door/door_test.go
+++ b/door/door_test.go
@@ -31,19 +31,18 @@
 	return d
 }
 
-// ample is a time within which everything that must come has come, on a busy
-// machine too.
+// ample is a timeout that is long enough on a busy machine.
 const ample = 20 * time.Second
 
-func ending(interrupt func()) ShutdownOptions {
+func shutdownOptions(interrupt func()) ShutdownOptions {
 	now := time.Now()
 	return ShutdownOptions{AnswerDeadline: now.Add(ample), Interrupt: interrupt, Deadline: now.Add(2 * ample)}
 }
 
-// wholeGet is a whole request.
+// wholeGet is a complete request.
 const wholeGet = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// ask opens a connection, which the test's end closes, and sends text on it.
+// ask opens a connection, which the test's cleanup closes, and sends text on it.
 func ask(t *testing.T, d *Server, text string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Address())
@@ -67,10 +66,9 @@
 	return resp.StatusCode, err
 }
 
-// Many clients connect and send at the very moment at which a door ends. Some of their connections wait in the kernel's
-// queue by then; those that the door closes without a look at the queue are reset with whole requests on them. The door is
-// kept from accepting until it ends, so that all of them wait there.
-func TestEndAnswersWhatWaitsInTheQueue(t *testing.T) {
+// Connections in the kernel's accept queue were reset with complete requests on them when
+// the listener closed. All wait there, since accepting is blocked until the shutdown.
+func TestShutdownAnswersQueuedConnections(t *testing.T) {
 	const clients = 60
 	d := open(t, func(http.ResponseWriter, *http.Request) {})
 	d.conns.mu.Lock()
@@ -79,22 +77,21 @@
 		conns = append(conns, ask(t, d, wholeGet))
 	}
 	ended := make(chan bool)
-	go func() { ended <- d.Shutdown(ending(func() {})) }()
+	go func() { ended <- d.Shutdown(shutdownOptions(func() {})) }()
 	d.conns.mu.Unlock()
 	for i, c := range conns {
 		if status, err := answer(bufio.NewReader(c)); err != nil || status != http.StatusOK {
-			t.Errorf("client %d of %d: answered %d (%v)", i, clients, status, err)
+			t.Errorf("client %d of %d: got status %d (%v)", i, clients, status, err)
 		}
 	}
 	if !<-ended {
-		t.Error("the end says that requests were given up")
+		t.Error("Shutdown reports interrupted requests")
 	}
 }
 
-// Clients use their kept connections without a pause while the door ends, and some come in the last time that an idle
-// connection gets. That time must end with the request's first byte: kept on, it cut the rest, or told the request that its
-// client had left. Each request that was taken is answered.
-func TestEndLosesNothingOnBusyConnections(t *testing.T) {
+// The final deadline of an idle connection must end with the first byte of a request; kept
+// on, it cut off the rest or cancelled the request's context.
+func TestShutdownAnswersBusyConnections(t *testing.T) {
 	var taken, answered sync.Map
 	d := open(t, func(w http.ResponseWriter, r *http.Request) { taken.Store(r.URL.Path, true) })
 	var clients sync.WaitGroup
@@ -120,21 +117,21 @@
 		})
 	}
 	time.Sleep(300 * time.Millisecond)
-	if !d.Shutdown(ending(func() {})) {
-		t.Error("the end says that requests were given up")
+	if !d.Shutdown(shutdownOptions(func() {})) {
+		t.Error("Shutdown reports interrupted requests")
 	}
 	clients.Wait()
 	taken.Range(func(path, _ any) bool {
 		if _, ok := answered.Load(path); !ok {
-			t.Errorf("%v was taken and not answered", path)
+			t.Errorf("request %v was accepted and not answered", path)
 		}
 		return true
 	})
 }
 
-// A request waits for something that never comes. When the time for answers is over it is interrupted, and gets the answer
-// that it then gives, before the door ends.
-func TestEndInterruptsWhatWaits(t *testing.T) {
+// A request that waits for something that never comes is interrupted at the answer deadline,
+// and its response must be sent before the server closes.
+func TestShutdownInterruptsWaitingRequests(t *testing.T) {
 	ctx, interrupt := context.WithCancel(context.Background())
 	begun := make(chan struct{})
 	d := open(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -144,12 +141,12 @@
 	})
 	c := ask(t, d, wholeGet)
 	<-begun
-	e := ending(interrupt)
+	e := shutdownOptions(interrupt)
 	e.AnswerDeadline = time.Now()
 	if d.Shutdown(e) {
-		t.Error("the end says that all was answered in its own time")
+		t.Error("Shutdown reports no interrupted request")
 	}
 	if status, err := answer(bufio.NewReader(c)); err != nil || status != http.StatusBadGateway {
-		t.Errorf("answered %d (%v)", status, err)
+		t.Errorf("got status %d (%v)", status, err)
 	}
 }
--- a/door/stall_test.go
+++ b/door/stall_test.go
@@ -16,34 +16,32 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Figures of a process that stands still.
+// Settings of a stalled process.
 const (
-	// stallVariable tells a child process what it is to stand still at.
+	// stallVariable tells a child process at which point to stall.
 	stallVariable = "DOOR_TEST_STALL"
-	// stall is for how long it stands still: the rest of a tenth of a second on a
-	// machine whose quota of the processor is used up.
+	// stall is how long the process is stopped: the rest of a 100 ms period on a machine
+	// whose CPU quota is used up.
 	stall = 90 * time.Millisecond
-	// rounds is how often each case is played: which of two events that are due
-	// the scheduler sees first differs from one to the other.
+	// rounds is the number of runs per case: the order in which the scheduler handles two
+	// due events varies between runs.
 	rounds = 5
-	// stalled is how many connections meet it.
+	// stalled is the number of connections affected by a stall.
 	stalled = 20
 )
 
-// A machine uses up its quota of the processor just after a planned stop has closed the door, and stands still for the rest
-// of a tenth of a second. Meanwhile whole requests come: on connections that wait in the kernel's queue, or on idle ones.
-// When it runs again, the times that the door gave have passed, and it takes what the kernel has for nothing: the
-// connections are reset unread, though their requests came in time.
+// After a stall during a shutdown, for example by the CPU quota, connections on which
+// requests had arrived meanwhile were reset unread, because their deadlines had passed.
 func TestEndTakesWhatCameInAStall(t *testing.T) {
 	for _, where := range []string{"queue", "idle"} {
 		t.Run(where, func(t *testing.T) {
 			lost := 0
 			for played, tries := 0, 0; played < rounds; tries++ {
 				if tries == 10*rounds {
-					t.Fatal("the process never stood still in time")
+					t.Fatal("the process never stalled in time")
 				}
-				// On a busy machine the door may have ended before the process stands
-				// still: its clients meet no stall, and know that nothing ran.
+				// On a busy machine the shutdown may finish before the process is stopped:
+				// then its clients meet no stall, and know that nothing ran.
 				n, met := stallOnce(t, where)
 				if met {
 					played++
@@ -51,23 +49,23 @@
 				}
 			}
 			if lost > 0 {
-				t.Errorf("%d of %d requests that came in a stall were not answered", lost, rounds*stalled)
+				t.Errorf("%d of %d requests that arrived during a stall were not answered", lost, rounds*stalled)
 			}
 		})
 	}
 }
 
-// TestMain runs the tests, or the process that stands still.
+// TestMain runs the tests, or in a child process the server that stalls.
 func TestMain(m *testing.M) {
 	if where := os.Getenv(stallVariable); where != "" {
-		standStill(where)
+		runStalled(where)
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// standStill ends a door and stands still at the moment that where names.
-func standStill(where string) {
+// runStalled shuts a server down and stops its own process at the point that where names.
+func runStalled(where string) {
 	d, err := serve(func(http.ResponseWriter, *http.Request) {})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -81,18 +79,18 @@
 		_, _ = parent.ReadString('\n')
 		close(quit)
 	}()
-	go d.Shutdown(ending(func() {}))
-	time.Sleep(map[string]time.Duration{"queue": queueEmpty / 5, "idle": queueEmpty + idleEnd/2}[where])
+	go d.Shutdown(shutdownOptions(func() {}))
+	time.Sleep(map[string]time.Duration{"queue": queueEmpty / 5, "idle": queueEmpty + idleGrace/2}[where])
 	_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
 	<-quit
 }
 
-// stallOnce plays one stall and returns how many requests were not answered, and
-// whether their connections met the stall.
+// stallOnce runs one stall and returns how many requests were not answered, and whether
+// their connections met the stall.
 func stallOnce(t *testing.T, where string) (lost int, met bool) {
 	t.Helper()
 	child := exec.Command(os.Args[0])
-	// One processor, as such a machine has.
+	// One processor, as on a small VM.
 	child.Env = append(os.Environ(), stallVariable+"="+where, "GOMAXPROCS=1")
 	in, err := child.StdinPipe()
 	if err != nil {
@@ -118,7 +116,7 @@
 		conns = dialAll(address)
 		for _, c := range conns {
 			if status, err := askOn(c); err != nil {
-				t.Fatalf("answered %d (%v) before the stop", status, err)
+				t.Fatalf("got status %d (%v) before the shutdown", status, err)
 			}
 		}
 	}
@@ -127,7 +125,7 @@
 	if where == "queue" {
 		conns = dialAll(address)
 	}
-	if len(conns) < stalled || anyEnded(conns) {
+	if len(conns) < stalled || anyClosed(conns) {
 		return 0, false
 	}
 	for _, c := range conns {
@@ -158,8 +156,8 @@
 	return conns
 }
 
-// anyEnded reports whether one of the connections has ended.
-func anyEnded(conns []net.Conn) bool {
+// anyClosed reports whether one of the connections is closed.
+func anyClosed(conns []net.Conn) bool {
 	for _, c := range conns {
 		_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 		if _, err := c.Read(make([]byte, 1)); !isTimeout(err) {
@@ -183,13 +181,12 @@
 			return
 		}
 	}
-	t.Fatal("the child does not stand still")
+	t.Fatal("the child process did not stop")
 }
 
-// A client writes two requests at once. The first is answered while the door ends; the second, read with it, is served at
-// once. The answer's write cleared what was owed, so the connection was taken for idle and got its last 50 ms; the end of
-// that time then shows to the second request as its client leaving.
-func TestEndServesWhatWasReadWithTheRequestBefore(t *testing.T) {
+// The response to the first of two pipelined requests cleared the count of unanswered bytes,
+// so the connection counted as idle and its final deadline cancelled the second.
+func TestShutdownServesPipelinedRequest(t *testing.T) {
 	begun, release, served := make(chan struct{}), make(chan struct{}), make(chan error, 1)
 	d := open(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/1" {
@@ -200,35 +197,35 @@
 		select {
 		case <-r.Context().Done():
 			served <- r.Context().Err()
-		case <-time.After(10 * idleEnd):
+		case <-time.After(10 * idleGrace):
 			served <- nil
 		}
 	})
 	ask(t, d, strings.Replace(wholeGet, "/", "/1", 1)+strings.Replace(wholeGet, "/", "/2", 1))
 	<-begun
 	ended := make(chan bool)
-	go func() { ended <- d.Shutdown(ending(func() {})) }()
+	go func() { ended <- d.Shutdown(shutdownOptions(func() {})) }()
 	<-d.closed
-	for !d.conns.begunToEnd() {
+	for !d.conns.isClosing() {
 		time.Sleep(time.Millisecond)
 	}
 	close(release)
 	if err := <-served; err != nil {
-		t.Errorf("the second request, whose client waits, was told: %v", err)
+		t.Errorf("context of the second request, whose client still waits: %v", err)
 	}
 	<-ended
 }
 
-// begunToEnd reports whether idle connections are being ended.
-func (s *conns) begunToEnd() bool {
+// isClosing reports whether idle connections are being closed.
+func (s *connSet) isClosing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.ending.IsZero()
+	return !s.closingSince.IsZero()
 }
 
-// A request is refused before its body was read, and its connection ends with that answer, as all do at a planned stop. The
-// server then reads the rest of the body, which is owed nothing; it must not count as a request without an answer.
-func TestAnsweredEarlyIsNotCounted(t *testing.T) {
+// Body bytes that the server reads after an early response must not count as a request
+// without a response.
+func TestEarlyResponseIsNotCountedAsUnanswered(t *testing.T) {
 	const body = 20000
 	d := open(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
@@ -236,23 +233,23 @@
 	})
 	unanswered, registry := prometheus.NewCounter(prometheus.CounterOpts{Name: "unanswered"}), prometheus.NewRegistry()
 	registry.MustRegister(unanswered)
-	d.conns.watch.Unanswered = unanswered
+	d.conns.telemetry.Unanswered = unanswered
 	c := ask(t, d, fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", body))
 	in := bufio.NewReader(c)
 	if status, err := answer(in); err != nil || status != http.StatusServiceUnavailable {
-		t.Fatalf("answered %d (%v)", status, err)
+		t.Fatalf("got status %d (%v)", status, err)
 	}
 	if _, err := io.WriteString(c, strings.Repeat("x", body)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("the connection ended with %v", err)
+		t.Errorf("the connection closed with %v", err)
 	}
 	all, err := registry.Gather()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if n := all[0].GetMetric()[0].GetCounter().GetValue(); n != 0 {
-		t.Errorf("%v counted as unanswered, after its answer", n)
+		t.Errorf("%v connections counted as unanswered after a response", n)
 	}
 }
