--- a/door/door.go
+++ b/door/door.go
@@ -101,8 +101,8 @@
 	return complete
 }
 
-func (d *Server) logCounts(event, what string) {
-	d.conns.telemetry.Log.WithFields(d.conns.counts().fields(event)).Info(what)
+func (d *Server) logCounts(event, message string) {
+	d.conns.telemetry.Log.WithFields(d.conns.counts().fields(event)).Info(message)
 }
 
 // shutdownHTTP2 closes the HTTP/2 connections, where the server tells the client which
--- a/verdicts/syncer.go
+++ b/verdicts/syncer.go
@@ -67,19 +67,19 @@
 
 // NewSyncer returns a syncer with an empty table.
 func NewSyncer(s store.Store, r *prometheus.Registry, log logrus.FieldLogger) *Syncer {
-	k := &Syncer{store: s, log: log, stored: map[poison.Fingerprint]storedVerdict{}}
-	k.changes = telemetry.NewCounter(r, "keel_node_contents_total", "Contents of requests under which targets ended, by what became of them here.", "what")
-	k.Table = poison.New(k.onChange)
-	return k
+	syncer := &Syncer{store: s, log: log, stored: map[poison.Fingerprint]storedVerdict{}}
+	syncer.changes = telemetry.NewCounter(r, "keel_node_contents_total", "Contents of requests under which targets ended, by what became of them here.", "what")
+	syncer.Table = poison.New(syncer.onChange)
+	return syncer
 }
 
 // onChange counts and logs a change, and publishes it at once if it is a repeated crash that
 // this process observed. The table does not report suspicions that come from peers; the
 // process that observed the crash logs them.
-func (k *Syncer) onChange(c poison.Change) {
-	k.changes.WithLabelValues(string(c.Kind)).Inc()
+func (s *Syncer) onChange(c poison.Change) {
+	s.changes.WithLabelValues(string(c.Kind)).Inc()
 	if c.Origin == poison.OriginLocal && c.Crashes > 1 {
-		k.PublishNow()
+		s.PublishNow()
 	}
 	fields := logrus.Fields{
 		"event": "content_" + string(c.Kind), "content": c.Content.String(), "service": c.Service, "customer": c.Customer,
@@ -91,7 +91,7 @@
 	if !c.Until.IsZero() {
 		fields["until"] = c.Until.UTC().Format(time.RFC3339)
 	}
-	k.log.WithFields(fields).Info(changeMessages[c.Kind])
+	s.log.WithFields(fields).Info(changeMessages[c.Kind])
 }
 
 var changeMessages = map[poison.ChangeKind]string{
@@ -104,70 +104,70 @@
 }
 
 // Run writes pending verdicts, and as leader removes expired ones, until ctx ends.
-func (k *Syncer) Run(ctx context.Context) {
+func (s *Syncer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, syncInterval)
 		now := time.Now()
-		k.Table.Sweep(now)
-		if now.Before(k.retryAt) {
+		s.Table.Sweep(now)
+		if now.Before(s.retryAt) {
 			continue
 		}
-		_, leader := k.Leadership.Held()
-		for _, verdict := range k.Table.PendingWrites(leader, now) {
-			k.write(ctx, verdict)
+		_, leader := s.Leadership.Held()
+		for _, verdict := range s.Table.PendingWrites(leader, now) {
+			s.write(ctx, verdict)
 		}
 		if leader {
-			k.removeExpired(ctx, now)
+			s.removeExpired(ctx, now)
 		}
 	}
 }
 
-func (k *Syncer) write(ctx context.Context, verdict poison.Verdict) {
-	k.mu.Lock()
-	full := verdict.Revision == 0 && len(k.stored) >= maxStored
-	k.mu.Unlock()
+func (s *Syncer) write(ctx context.Context, verdict poison.Verdict) {
+	s.mu.Lock()
+	full := verdict.Revision == 0 && len(s.stored) >= maxStored
+	s.mu.Unlock()
 	if full {
 		return
 	}
 	value, err := verdict.Encode()
 	if err != nil {
-		k.log.WithError(err).WithField("event", "verdict_unwritten").Error("cannot encode the verdict; starting entries will not load it")
+		s.log.WithError(err).WithField("event", "verdict_unwritten").Error("cannot encode the verdict; starting entries will not load it")
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	revision, err := k.store.Put(ctx, Key(verdict.Content), value, verdict.Revision, "")
+	revision, err := s.store.Put(ctx, Key(verdict.Content), value, verdict.Revision, "")
 	switch {
 	case err == nil:
-		k.Table.MarkWritten(verdict, revision)
+		s.Table.MarkWritten(verdict, revision)
 	case errors.Is(err, store.ErrConflict):
-		k.reload(ctx, verdict.Content)
+		s.reload(ctx, verdict.Content)
 	default:
 		// The write is retried; until then the verdict is in force in this process.
-		k.retryAt = time.Now().Add(retryDelay)
-		k.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unwritten", "content": verdict.Content.String()}).Warn("failed to store the verdict; retrying")
+		s.retryAt = time.Now().Add(retryDelay)
+		s.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unwritten", "content": verdict.Content.String()}).Warn("failed to store the verdict; retrying")
 	}
 }
 
 // reload applies the verdict that another process has written.
-func (k *Syncer) reload(ctx context.Context, content poison.Fingerprint) {
-	entry, err := k.store.Get(ctx, Key(content))
+func (s *Syncer) reload(ctx context.Context, content poison.Fingerprint) {
+	entry, err := s.store.Get(ctx, Key(content))
 	if errors.Is(err, store.ErrNotFound) {
-		k.MarkMissing(content)
+		s.MarkMissing(content)
 		return
 	}
 	if err != nil {
-		k.retryAt = time.Now().Add(retryDelay)
-		k.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unread", "content": content.String()}).Warn("failed to read the verdict that another process wrote")
+		s.retryAt = time.Now().Add(retryDelay)
+		s.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unread", "content": content.String()}).Warn("failed to read the verdict that another process wrote")
 		return
 	}
-	if err := k.ApplyStored(content, entry.Value, entry.Revision); err != nil {
-		k.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unread", "content": content.String()}).Warn("cannot decode the verdict that another process wrote")
+	if err := s.ApplyStored(content, entry.Value, entry.Revision); err != nil {
+		s.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unread", "content": content.String()}).Warn("cannot decode the verdict that another process wrote")
 	}
 }
 
 // ApplyStored applies a verdict read from the store.
-func (k *Syncer) ApplyStored(content poison.Fingerprint, value []byte, revision int64) error {
+func (s *Syncer) ApplyStored(content poison.Fingerprint, value []byte, revision int64) error {
 	now := time.Now()
 	verdict, err := poison.DecodeVerdict(content, value, revision, now)
 	if err != nil {
@@ -177,61 +177,61 @@
 	if verdict.Lifted {
 		until = now
 	}
-	k.mu.Lock()
-	k.stored[content] = storedVerdict{revision: revision, end: until}
-	k.mu.Unlock()
-	k.Table.ApplyStored(verdict, now)
+	s.mu.Lock()
+	s.stored[content] = storedVerdict{revision: revision, end: until}
+	s.mu.Unlock()
+	s.Table.ApplyStored(verdict, now)
 	return nil
 }
 
 // MarkMissing records that the store no longer has a verdict. This does not lift it: a
 // verdict expires by its own time, and the store may have lost it.
-func (k *Syncer) MarkMissing(content poison.Fingerprint) {
-	k.mu.Lock()
-	delete(k.stored, content)
-	k.mu.Unlock()
-	k.Table.MarkMissing(content)
+func (s *Syncer) MarkMissing(content poison.Fingerprint) {
+	s.mu.Lock()
+	delete(s.stored, content)
+	s.mu.Unlock()
+	s.Table.MarkMissing(content)
 }
 
 // Reconcile marks the verdicts missing whose keys are not in a listing of the system's own
 // keys.
-func (k *Syncer) Reconcile(keys map[string]bool) {
-	k.mu.Lock()
+func (s *Syncer) Reconcile(keys map[string]bool) {
+	s.mu.Lock()
 	var missing []poison.Fingerprint
-	for content := range k.stored {
+	for content := range s.stored {
 		if !keys[Key(content)] {
 			missing = append(missing, content)
 		}
 	}
-	k.mu.Unlock()
+	s.mu.Unlock()
 	for _, content := range missing {
-		k.MarkMissing(content)
+		s.MarkMissing(content)
 	}
 }
 
 // removeExpired deletes stored verdicts whose retention is over.
-func (k *Syncer) removeExpired(ctx context.Context, now time.Time) {
-	k.mu.Lock()
+func (s *Syncer) removeExpired(ctx context.Context, now time.Time) {
+	s.mu.Lock()
 	expired := map[poison.Fingerprint]int64{}
-	for content, v := range k.stored {
+	for content, v := range s.stored {
 		if now.Sub(v.end) > retention {
 			expired[content] = v.revision
 		}
 	}
-	k.mu.Unlock()
+	s.mu.Unlock()
 	for content, revision := range expired {
-		k.remove(ctx, content, revision)
+		s.remove(ctx, content, revision)
 	}
 }
 
-func (k *Syncer) remove(ctx context.Context, content poison.Fingerprint, revision int64) {
+func (s *Syncer) remove(ctx context.Context, content poison.Fingerprint, revision int64) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_, err := k.store.Delete(ctx, Key(content), revision)
+	_, err := s.store.Delete(ctx, Key(content), revision)
 	if err != nil && !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrNotFound) {
-		k.retryAt = time.Now().Add(retryDelay)
-		k.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unwritten", "content": content.String()}).Warn("failed to remove an expired verdict from the store; retrying")
+		s.retryAt = time.Now().Add(retryDelay)
+		s.log.WithError(err).WithFields(logrus.Fields{"event": "verdict_unwritten", "content": content.String()}).Warn("failed to remove an expired verdict from the store; retrying")
 		return
 	}
-	k.MarkMissing(content)
+	s.MarkMissing(content)
 }
