--- a/agent/ask.go
+++ b/agent/ask.go
@@ -51,7 +51,7 @@
 	}
 	truth, err := r.engine.Lookup(ctx, req.BoundaryHash, tokens)
 	if err != nil {
-		truth = target.LookupAnswer{}
+		truth = target.LookupResult{}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/agent/call.go
+++ b/agent/call.go
@@ -102,7 +102,7 @@
 		ContentType:    req.ContentType,
 		Body:           req.Body,
 		IdempotencyKey: req.IdempotencyKey,
-		OnlyOnce:       !req.Idempotent,
+		NoResend:       !req.Idempotent,
 	}
 }
 
--- a/agent/feed.go
+++ b/agent/feed.go
@@ -30,7 +30,7 @@
 // have begun.
 func startRefusal(err error) *refusal.Error {
 	e := refusal.New(refusal.TargetFailed, "another runner takes the request", "the engine did not take it: %v", err)
-	if !errors.Is(err, target.ErrNotSent) && !errors.Is(err, target.ErrAway) {
+	if !errors.Is(err, target.ErrNotSent) && !errors.Is(err, target.ErrNotAccepting) {
 		e.Outcome = refusal.Unknown
 	}
 	return e
--- a/agent/generate.go
+++ b/agent/generate.go
@@ -138,7 +138,7 @@
 }
 
 func adoptRefusal(err error) *refusal.Error {
-	if errors.Is(err, target.ErrGone) {
+	if errors.Is(err, target.ErrStreamNotFound) {
 		return lostRefusal()
 	}
 	return brokenRefusal(err)
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -18,8 +18,8 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
-	// Once requests run at most once for each attempt of a client.
-	Once Kind = "once"
+	// AtMostOnce requests run at most once for each attempt of a client.
+	AtMostOnce Kind = "once"
 	// Stream answers are series of events; they run once unless resumable.
 	Stream Kind = "stream"
 )
--- a/node/watchshare.go
+++ b/node/watchshare.go
@@ -102,7 +102,7 @@
 	piece := follow.Changes{After: c.After, SinceRecovery: c.SinceRecovery}
 	for i, e := range c.Events.Events {
 		bytes := len(e.Key) + len(e.Value) + changeBytes
-		if total += bytes; e.Unread != nil || total > changesMost {
+		if total += bytes; e.DecodeErr != nil || total > changesMost {
 			return nil, false
 		}
 		if i > 0 && size+bytes > pulses.DatagramBytes && e.Revision > piece.Events.Revision {
--- a/store/store.go
+++ b/store/store.go
@@ -28,9 +28,9 @@
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
 	Revision int64  `json:"revision"`
-	// Unread is why the value could not be read; nil where it was. The other
+	// DecodeErr is why the value could not be read; nil where it was. The other
 	// entries of the same answer are not touched by it.
-	Unread error `json:"-"`
+	DecodeErr error `json:"-"`
 }
 
 // Listing is the entries below a prefix at one revision of the service.
--- a/target/engine.go
+++ b/target/engine.go
@@ -24,10 +24,10 @@
 var (
 	// ErrNotSent: no connection could be made, so nothing ran.
 	ErrNotSent = errors.New("no connection to the target; nothing was sent")
-	// ErrAway: the target answered that it takes nothing now.
-	ErrAway = errors.New("the target takes no requests now")
-	// ErrGone: the target does not know the stream.
-	ErrGone = errors.New("the target does not know this stream")
+	// ErrNotAccepting: the target answered that it takes nothing now.
+	ErrNotAccepting = errors.New("the target takes no requests now")
+	// ErrStreamNotFound: the target does not know the stream.
+	ErrStreamNotFound = errors.New("the target does not know this stream")
 	// ErrFenced: the target refused an order as outdated.
 	ErrFenced = errors.New("the target refused the order: old fencing number, or not drained")
 )
@@ -157,9 +157,9 @@
 func statusError(status int) error {
 	switch status {
 	case http.StatusServiceUnavailable:
-		return ErrAway
+		return ErrNotAccepting
 	case http.StatusNotFound:
-		return ErrGone
+		return ErrStreamNotFound
 	case http.StatusConflict:
 		return ErrFenced
 	}
@@ -281,8 +281,8 @@
 	return e.call(ctx, http.MethodPost, "/v1/orders", body, nil)
 }
 
-// LookupAnswer is an engine's true state for one prompt.
-type LookupAnswer struct {
+// LookupResult is an engine's true state for one prompt.
+type LookupResult struct {
 	CachedTokens  int `json:"cached_tokens"`
 	PrefillTokens int `json:"prefill_tokens"`
 	Running       int `json:"running"`
@@ -291,15 +291,15 @@
 
 // Lookup asks a stand-in engine for its true state. Only the bench's oracle
 // policy calls it; real engines have no such thing.
-func (e *Engine) Lookup(ctx context.Context, hashes []uint64, tokens []int) (LookupAnswer, error) {
+func (e *Engine) Lookup(ctx context.Context, hashes []uint64, tokens []int) (LookupResult, error) {
 	body, err := json.Marshal(struct {
 		Hashes []uint64 `json:"hashes"`
 		Tokens []int    `json:"tokens"`
 	}{hashes, tokens})
 	if err != nil {
-		return LookupAnswer{}, fmt.Errorf("encode lookup: %w", err)
+		return LookupResult{}, fmt.Errorf("encode lookup: %w", err)
 	}
-	var a LookupAnswer
+	var a LookupResult
 	err = e.call(ctx, http.MethodPost, "/truth/lookup", body, &a)
 	return a, err
 }
--- a/target/service.go
+++ b/target/service.go
@@ -36,8 +36,8 @@
 	Body        []byte
 	// IdempotencyKey is passed on; the service need not look at it.
 	IdempotencyKey string
-	// OnlyOnce keeps the HTTP library from sending the call a second time by itself.
-	OnlyOnce bool
+	// NoResend keeps the HTTP library from sending the call a second time by itself.
+	NoResend bool
 }
 
 // Answer is a service's whole answer.
@@ -62,7 +62,7 @@
 		req.Header.Set("Idempotency-Key", c.IdempotencyKey)
 	}
 	client := s.http
-	if c.OnlyOnce {
+	if c.NoResend {
 		client = s.once
 	}
 	resp, err := client.Do(req)
@@ -85,7 +85,7 @@
 // kept one turns out to be closed, if it can rewind the body and the request
 // carries an Idempotency-Key. To the service that is a second send.
 func bodyOf(c Call) io.Reader {
-	if !c.OnlyOnce {
+	if !c.NoResend {
 		return bytes.NewReader(c.Body)
 	}
 	return io.NopCloser(bytes.NewReader(c.Body))
--- a/verdicts/entry.go
+++ b/verdicts/entry.go
@@ -30,8 +30,8 @@
 	if err != nil {
 		return poison.Verdict{}, err
 	}
-	if e.Unread != nil {
-		return poison.Verdict{}, e.Unread
+	if e.DecodeErr != nil {
+		return poison.Verdict{}, e.DecodeErr
 	}
 	return poison.DecodeVerdict(content, e.Value, e.Revision, now)
 }
