--- a/node/watchshare.go
+++ b/node/watchshare.go
@@ -105,7 +105,7 @@
 	piece := follow.Changes{After: c.After, SinceRecovery: c.SinceRecovery}
 	for i, e := range c.Events.Events {
 		bytes := len(e.Key) + len(e.Value) + changeOverhead
-		if total += bytes; e.Unread != nil || total > maxSharedBytes {
+		if total += bytes; e.DecodeErr != nil || total > maxSharedBytes {
 			return nil, false
 		}
 		if i > 0 && size+bytes > pulses.DatagramBytes && e.Revision > piece.Events.Revision {
