--- a/store/store.go
+++ b/store/store.go
@@ -1,5 +1,6 @@
-// Package platform is the system's only door to the platform's key-value
-// service and its lagging list of VMs. Another protocol replaces http.go.
+// Package store defines the interfaces to the platform's key-value service and
+// to its list of VMs. The rest of the system reaches both only through them, so
+// that another protocol needs only another implementation.
 package store
 
 import (
@@ -10,17 +11,20 @@
 	"acaciakeel/vm"
 )
 
-// Errors that callers tell apart. Any other error means that the outcome is
-// unknown: the call may have taken effect and only its answer been lost.
+// Errors that callers distinguish. After any other error the outcome is
+// unknown: the call may have taken effect although its response was lost.
 var (
-	// ErrConflict: the key's revision is not the one given; read it and decide again.
-	ErrConflict = errors.New("the key has another revision; read it and decide again")
-	// ErrNotFound: there is no such key or lease.
-	ErrNotFound = errors.New("no such key or lease")
-	// ErrCompacted: the service no longer has the history that was asked for; list again.
-	ErrCompacted = errors.New("the service no longer has this history; list again")
-	// ErrUnavailable: the service did not take the call, which had no effect.
-	ErrUnavailable = errors.New("the platform's service cannot be reached; the call had no effect")
+	// ErrConflict is returned if the key's revision differs from the expected
+	// one. The caller reads the key again before it decides on another write.
+	ErrConflict = errors.New("key has a different revision than expected; read it again before writing")
+	// ErrNotFound is returned if the key or lease does not exist.
+	ErrNotFound = errors.New("key or lease not found")
+	// ErrCompacted is returned if the service has discarded the requested
+	// history. The caller lists again.
+	ErrCompacted = errors.New("requested history has been compacted; list again")
+	// ErrUnavailable is returned if the service did not accept the call, which
+	// therefore had no effect.
+	ErrUnavailable = errors.New("the platform's key-value service is unavailable; the call had no effect")
 )
 
 // Entry is one key with its value and the revision that last changed it.
@@ -28,32 +32,35 @@
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
 	Revision int64  `json:"revision"`
-	// DecodeErr is why the value could not be read; nil where it was. The other
-	// entries of the same answer are not touched by it.
+	// DecodeErr is the error from decoding this entry, or nil. It does not affect
+	// the other entries of the same response.
 	DecodeErr error `json:"-"`
 }
 
-// Listing is the entries below a prefix at one revision of the service.
+// Listing contains the entries below a prefix. Revision is the service's
+// revision when the listing began. A listing read in pages is not a snapshot:
+// its entries may be newer, and a watch after Revision returns them again.
 type Listing struct {
 	Revision int64   `json:"revision"`
 	Entries  []Entry `json:"entries"`
 }
 
-// Event is one change of a key; Deleted events have no value.
+// Event is one change of a key. The Value of a deletion is empty.
 type Event struct {
 	Entry
 	Deleted bool `json:"deleted"`
 }
 
-// Events is the changes after a revision, up to Revision. Compacted is set
-// where the service no longer has them all: list again.
+// Events contains the changes after a revision, up to and including Revision.
+// Compacted is set if the service has discarded some of them; the caller then
+// lists again.
 type Events struct {
 	Revision  int64   `json:"revision"`
 	Events    []Event `json:"events"`
 	Compacted bool    `json:"compacted"`
 }
 
-// LeaseID names a lease; keys attached to it vanish when it lapses.
+// LeaseID identifies a lease. Keys attached to a lease are deleted when it expires.
 type LeaseID string
 
 // Store is the key-value service.
@@ -62,23 +69,24 @@
 	Get(ctx context.Context, key string) (Entry, error)
 	// List returns the entries below a prefix.
 	List(ctx context.Context, prefix string) (Listing, error)
-	// Put writes value where the key's revision is still ifRevision (0: where
-	// the key is not there), and returns the new revision, or ErrConflict.
+	// Put writes value if the key's revision equals ifRevision, where 0 means
+	// that the key does not exist. It returns the new revision, or ErrConflict.
 	Put(ctx context.Context, key string, value []byte, ifRevision int64, lease LeaseID) (int64, error)
-	// Delete removes a key where its revision is still ifRevision.
+	// Delete removes a key if its revision equals ifRevision.
 	Delete(ctx context.Context, key string, ifRevision int64) (int64, error)
-	// Watch waits up to wait for changes below prefix after a revision.
+	// Watch returns the changes below prefix after a revision. It blocks for at
+	// most wait if there are none.
 	Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (Events, error)
-	// Grant makes a lease, which lapses ttl after the last renewal reached the
-	// service. One whose answer was lost lapses unused.
+	// Grant creates a lease, which expires ttl after the service received the
+	// last renewal. A lease whose response was lost expires unused.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// Renew extends a lease, or returns ErrNotFound once it has lapsed.
+	// Renew extends a lease, or returns ErrNotFound if it has expired.
 	Renew(ctx context.Context, id LeaseID) error
-	// Revoke ends a lease, and its keys vanish.
+	// Revoke ends a lease and deletes its keys.
 	Revoke(ctx context.Context, id LeaseID) error
 }
 
-// Directory is the lagging list of VMs.
+// Directory is the platform's list of VMs. The list lags behind the actual state.
 type Directory interface {
 	VMs(ctx context.Context) ([]vm.VM, error)
 }
