--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog holds one version of the operators' configuration in the
-// form that routing needs: routes by host and path, services, customers by
-// key, and limits. A Config is immutable once indexed.
+// Package catalog holds one version of the operators' configuration, prepared
+// for routing: routes by host and path, services, customers by key, and
+// limits. A Config is immutable once it has been indexed.
 package catalog
 
 import (
@@ -11,66 +11,70 @@
 	"acaciakeel/quota"
 )
 
-// Kind says what of a route's requests may be repeated.
+// Kind states whether a route's requests may be executed more than once.
 type Kind string
 
-// The kinds of routes.
 const (
-	// Idempotent requests may run more than once.
+	// Idempotent requests may be executed more than once.
 	Idempotent Kind = "idempotent"
-	// AtMostOnce requests run at most once for each attempt of a client.
+	// AtMostOnce requests are executed at most once per attempt of a client.
 	AtMostOnce Kind = "once"
-	// Stream answers are series of events; they run once unless resumable.
+	// Stream responses are sequences of events. The requests are executed once
+	// unless the route is resumable.
 	Stream Kind = "stream"
 )
 
-// Share is one service's part of a split route.
+// Share is the weight of one service in a route's split.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Route says what is done with the requests below one path of one host.
+// Route defines the handling of requests below one path prefix of one host.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a client is kept waiting; 0 is no bound.
+	// Timeout bounds the time that a client waits; 0 means no bound.
 	Timeout time.Duration
-	// Objective is the time within which an answer is worth most; of a stream, its first event.
+	// Objective is the latency objective: the response time, or for streams the
+	// time to the first event, beyond which the response loses value.
 	Objective time.Duration
-	// Priority is the rank of the route's requests; 0 is first.
+	// Priority is the priority of the route's requests; 0 is the highest.
 	Priority int
-	// Attempts is the most targets that may run one attempt of a client.
+	// Attempts is the maximum number of targets that may execute one attempt of
+	// a client.
 	Attempts int
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
-	// Model routes carry prompts whose prefixes are worth caching.
+	// Model routes carry prompts, which benefit from prefix caching.
 	Model bool
-	// Resumable streams may go on at another target after the last event.
+	// Resumable streams may continue on another target after the last event.
 	Resumable bool
 	Split     []Share
 }
 
-// Repeatable reports whether a request that may have run may run again.
+// Repeatable reports whether a request that may have been executed may be executed
+// again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Resumable
 }
 
-// Service picks one of the route's services; draw is uniform in [0, 1).
+// Service selects one of the route's services in proportion to their weights;
+// draw is uniform in [0, 1).
 func (r *Route) Service(draw float64) string {
 	total := 0.0
 	for _, s := range r.Split {
 		total += s.Weight
 	}
-	at := draw * total
+	offset := draw * total
 	for _, s := range r.Split {
-		if at < s.Weight {
+		if offset < s.Weight {
 			return s.Service
 		}
-		at -= s.Weight
+		offset -= s.Weight
 	}
 	if n := len(r.Split); n > 0 {
 		return r.Split[n-1].Service
@@ -78,47 +82,49 @@
 	return ""
 }
 
-// Engine describes the runners of a model service.
+// Engine describes the engines of a model service's runners.
 type Engine struct {
-	// Slots is how many requests a runner works on at once.
+	// Slots is the number of requests that a runner processes concurrently.
 	Slots int
-	// CapacityTokens is a runner's memory for running requests and cached parts.
+	// CapacityTokens is the size of a runner's KV cache in tokens, shared by
+	// running requests and cached prefixes.
 	CapacityTokens int
-	// TokenBytes is the size of one token's KV cache.
+	// TokenBytes is the size of one token's KV cache, in bytes.
 	TokenBytes int
 	Models     []string
 }
 
-// Service is one group of equal targets.
+// Service is a group of interchangeable targets.
 type Service struct {
 	Name string
-	// MaxConns is the most connections that a target accepts from all callers together.
+	// MaxConns is the maximum number of connections that a target accepts, summed
+	// over all callers.
 	MaxConns int
 	// Engine is nil for plain services.
 	Engine *Engine
-	// KVStore is the address of a store of kept KV cache, which is no target;
-	// empty for other services. Zone is where it stands, KVTokens its room,
-	// KVLinkMbps its link.
+	// KVStore is the address of a KV cache store, which is not a target; empty
+	// for other services. Zone is the store's data centre, KVTokens its capacity
+	// in tokens and KVLinkMbps its link bandwidth.
 	KVStore    string
 	Zone       string
 	KVTokens   int
 	KVLinkMbps float64
 }
 
-// Customer is one holder of keys.
+// Customer is a customer with its keys and limit.
 type Customer struct {
 	Name string
-	// Priority takes precedence over the route's where HasPriority is set.
+	// Priority overrides the route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Isolated customers share no cached part with others.
+	// Isolated customers share no cached prefixes with other customers.
 	Isolated bool
 	Keys     []string
-	// Limit holds over all entries together.
+	// Limit applies to the customer's usage summed over all entries.
 	Limit quota.Limit
 }
 
-// Limits bound what clients may send; 0 is no bound.
+// Limits bound the size and duration of clients' requests; 0 means no bound.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -138,7 +144,8 @@
 	keys  map[string]*Customer
 }
 
-// Index builds the look-up tables; it must be called once before use.
+// Index builds the lookup tables and returns c. It must be called once, before
+// any lookup.
 func (c *Config) Index() *Config {
 	c.hosts = map[string][]*Route{}
 	for _, r := range c.Routes {
@@ -156,11 +163,11 @@
 	return c
 }
 
-// Match returns the route of a request, the one with the longest prefix, or
-// nil. A port behind the host's name is ignored.
+// Match returns the route with the longest prefix that matches the request, or
+// nil. A port in host is ignored.
 func (c *Config) Match(host, path string) *Route {
-	if at := strings.LastIndexByte(host, ':'); at >= 0 {
-		host = host[:at]
+	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
+		host = host[:colon]
 	}
 	for _, r := range c.hosts[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -170,26 +177,27 @@
 	return nil
 }
 
-// Customer returns the holder of a key, or nil.
+// Customer returns the customer to whom key belongs, or nil.
 func (c *Config) Customer(key string) *Customer {
 	return c.keys[key]
 }
 
-// CustomerLimits returns the limits of all customers, by their names.
+// CustomerLimits returns the limits of all customers by customer name.
 func (c *Config) CustomerLimits() map[string]quota.Limit {
-	out := make(map[string]quota.Limit, len(c.Customers))
+	limits := make(map[string]quota.Limit, len(c.Customers))
 	for _, customer := range c.Customers {
-		out[customer.Name] = customer.Limit
+		limits[customer.Name] = customer.Limit
 	}
-	return out
+	return limits
 }
 
-// NeedsKeys reports whether routes that are not public want a key.
+// NeedsKeys reports whether non-public routes require a key, which they do if
+// any customer is configured.
 func (c *Config) NeedsKeys() bool {
 	return len(c.Customers) > 0
 }
 
-// Models returns the model services' models, each with its services.
+// Models maps each model to the names of the services that provide it.
 func (c *Config) Models() map[string][]string {
 	models := map[string][]string{}
 	for name, s := range c.Services {
