--- a/target/engine.go
+++ b/target/engine.go
@@ -1,4 +1,4 @@
-// Package target speaks the protocols of back ends: engines, with their
+// Package target implements clients for the targets: engines, with their
 // streams, cache events, load reports and orders, and plain services.
 package target
 
@@ -20,19 +20,22 @@
 	"acaciakeel/cache"
 )
 
-// Errors that callers tell apart.
+// Errors that callers distinguish.
 var (
-	// ErrNotSent: no connection could be made, so nothing ran.
+	// ErrNotSent is returned if no connection could be made, so that the request
+	// was not executed.
 	ErrNotSent = errors.New("no connection to the target; nothing was sent")
-	// ErrNotAccepting: the target answered that it takes nothing now.
+	// ErrNotAccepting is returned if the target responded that it currently
+	// accepts no requests.
 	ErrNotAccepting = errors.New("the target takes no requests now")
-	// ErrStreamNotFound: the target does not know the stream.
+	// ErrStreamNotFound is returned if the target does not know the stream.
 	ErrStreamNotFound = errors.New("the target does not know this stream")
-	// ErrFenced: the target refused an order as outdated.
+	// ErrFenced is returned if the target refused an order because its fencing
+	// number is old or the target is not drained.
 	ErrFenced = errors.New("the target refused the order: old fencing number, or not drained")
 )
 
-// Completion is one request to an engine.
+// Completion is a completion request to an engine.
 type Completion struct {
 	RequestID string `json:"request_id"`
 	Model     string `json:"model"`
@@ -43,14 +46,14 @@
 	CacheSalt string `json:"cache_salt"`
 }
 
-// Usage is an engine's count of one request's tokens.
+// Usage is the engine's token count for one request.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CachedTokens     int `json:"cached_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// Chunk is one event of an engine's stream.
+// Chunk is one event of a completion stream.
 type Chunk struct {
 	Offset         int    `json:"offset"`
 	Text           string `json:"text"`
@@ -71,24 +74,25 @@
 }
 
 const (
-	headerBoot    = "X-Boot-Id"
-	headerWeights = "X-Weights-Version"
-	dialTimeout   = 300 * time.Millisecond
-	// streamPrefix starts the data lines of a stream, and streamDone ends it.
-	streamPrefix = "data: "
-	streamDone   = "[DONE]"
-	maxLine      = 1 << 20
+	headerBootID         = "X-Boot-Id"
+	headerWeightsVersion = "X-Weights-Version"
+	dialTimeout          = 300 * time.Millisecond
+	// dataPrefix starts the data lines of a stream, and endOfStream is the data of
+	// its last line.
+	dataPrefix   = "data: "
+	endOfStream  = "[DONE]"
+	maxLineBytes = 1 << 20
 )
 
 // Engine is a client of one engine.
 type Engine struct {
-	base string
-	http *http.Client
+	baseURL string
+	http    *http.Client
 }
 
-// NewEngine returns a client of the engine at base, such as http://127.0.0.1:8000.
-func NewEngine(base string) *Engine {
-	return &Engine{base: base, http: newHTTPClient()}
+// NewEngine returns a client of the engine at baseURL, such as http://127.0.0.1:8000.
+func NewEngine(baseURL string) *Engine {
+	return &Engine{baseURL: baseURL, http: newHTTPClient()}
 }
 
 func newHTTPClient() *http.Client {
@@ -103,39 +107,40 @@
 
 // Stream is one open stream of an engine.
 type Stream struct {
-	// BootID and WeightsVersion are the engine's when it took the request.
+	// BootID and WeightsVersion are the engine's values from the response header.
 	BootID         string
 	WeightsVersion string
 	body           io.ReadCloser
-	lines          *bufio.Scanner
+	scanner        *bufio.Scanner
 }
 
-// Start sends a completion and returns its stream.
+// Start sends a completion request and returns its stream.
 func (e *Engine) Start(ctx context.Context, c Completion) (*Stream, error) {
 	body, err := json.Marshal(c)
 	if err != nil {
 		return nil, fmt.Errorf("encode completion: %w", err)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, e.base+"/v1/completions", bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, e.baseURL+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
 		return nil, fmt.Errorf("build completion: %w", err)
 	}
-	return e.open(req)
+	return e.openStream(req)
 }
 
-// Resume opens the stream of a request again, from an offset.
+// Resume reopens the stream of a request at an offset.
 func (e *Engine) Resume(ctx context.Context, requestID string, offset int) (*Stream, error) {
-	path := fmt.Sprintf("%s/v1/streams/%s?offset=%d", e.base, url.PathEscape(requestID), offset)
+	path := fmt.Sprintf("%s/v1/streams/%s?offset=%d", e.baseURL, url.PathEscape(requestID), offset)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return nil, fmt.Errorf("build resume: %w", err)
 	}
-	// The connection on which the stream broke must not serve its resume.
+	// A resumed stream must not use the connection on which the stream broke.
+	// Close ends this connection after the response instead of keeping it idle.
 	req.Close = true
-	return e.open(req)
+	return e.openStream(req)
 }
 
-func (e *Engine) open(req *http.Request) (*Stream, error) {
+func (e *Engine) openStream(req *http.Request) (*Stream, error) {
 	resp, err := e.http.Do(req)
 	if err != nil {
 		return nil, sendError(err)
@@ -144,13 +149,13 @@
 		resp.Body.Close()
 		return nil, statusError(resp.StatusCode)
 	}
-	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(make([]byte, 4096), maxLine)
+	scanner := bufio.NewScanner(resp.Body)
+	scanner.Buffer(make([]byte, 4096), maxLineBytes)
 	return &Stream{
-		BootID:         resp.Header.Get(headerBoot),
-		WeightsVersion: resp.Header.Get(headerWeights),
+		BootID:         resp.Header.Get(headerBootID),
+		WeightsVersion: resp.Header.Get(headerWeightsVersion),
 		body:           resp.Body,
-		lines:          lines,
+		scanner:        scanner,
 	}, nil
 }
 
@@ -166,7 +171,8 @@
 	return fmt.Errorf("the target answered with status %d", status)
 }
 
-// sendError tells a request that provably never left from one that may have.
+// sendError wraps an error of the HTTP client. The result is ErrNotSent if no
+// connection was made; after any other error the request may have been sent.
 func sendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -175,15 +181,16 @@
 	return fmt.Errorf("send to the target: %w", err)
 }
 
-// Next returns the next chunk, or io.EOF after the last. A stream that breaks
-// off before its end returns io.ErrUnexpectedEOF or the connection's error.
+// Next returns the next chunk, or io.EOF after the last one. If the stream
+// breaks before its end marker, Next returns io.ErrUnexpectedEOF or the
+// connection's error.
 func (s *Stream) Next() (Chunk, error) {
-	for s.lines.Scan() {
-		data, ok := strings.CutPrefix(s.lines.Text(), streamPrefix)
+	for s.scanner.Scan() {
+		data, ok := strings.CutPrefix(s.scanner.Text(), dataPrefix)
 		if !ok {
 			continue
 		}
-		if data == streamDone {
+		if data == endOfStream {
 			return Chunk{}, io.EOF
 		}
 		var c Chunk
@@ -192,18 +199,18 @@
 		}
 		return c, nil
 	}
-	if err := s.lines.Err(); err != nil {
+	if err := s.scanner.Err(); err != nil {
 		return Chunk{}, err
 	}
 	return Chunk{}, io.ErrUnexpectedEOF
 }
 
-// Close drops the connection of the stream.
+// Close closes the stream's connection.
 func (s *Stream) Close() {
 	s.body.Close()
 }
 
-// Cancel tells the engine that nobody wants a request any more.
+// Cancel requests the engine to abort a request.
 func (e *Engine) Cancel(ctx context.Context, requestID string) error {
 	return e.call(ctx, http.MethodDelete, "/v1/streams/"+url.PathEscape(requestID), nil, nil)
 }
@@ -221,7 +228,7 @@
 	Blocks [][2]uint64 `json:"blocks"`
 }
 
-// CacheDump returns everything that the engine has cached.
+// CacheDump returns all blocks that the engine has cached.
 func (e *Engine) CacheDump(ctx context.Context) (cache.Dump, error) {
 	var raw cacheDump
 	if err := e.call(ctx, http.MethodGet, "/v1/cache", nil, &raw); err != nil {
@@ -242,10 +249,10 @@
 	Stored  []uint64 `json:"stored"`
 }
 
-// CacheEvents calls take with each cache event after a sequence number until
-// the connection ends, which it always does with an error.
-func (e *Engine) CacheEvents(ctx context.Context, after uint64, take func(cache.Event)) error {
-	path := e.base + "/v1/cache/events?after=" + strconv.FormatUint(after, 10)
+// CacheEvents calls handle for each cache event after a sequence number until
+// the connection ends. It always returns a non-nil error.
+func (e *Engine) CacheEvents(ctx context.Context, after uint64, handle func(cache.Event)) error {
+	path := e.baseURL + "/v1/cache/events?after=" + strconv.FormatUint(after, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return fmt.Errorf("build event stream: %w", err)
@@ -264,11 +271,11 @@
 		if err := decoder.Decode(&raw); err != nil {
 			return fmt.Errorf("read cache events: %w", err)
 		}
-		take(cache.Event(raw))
+		handle(cache.Event(raw))
 	}
 }
 
-// Order tells the engine to load weights under a fencing number, and returns
+// Order requests the engine to load weights, with a fencing number, and returns
 // once they are loaded.
 func (e *Engine) Order(ctx context.Context, fence uint64, weightsVersion string) error {
 	body, err := json.Marshal(struct {
@@ -281,7 +288,7 @@
 	return e.call(ctx, http.MethodPost, "/v1/orders", body, nil)
 }
 
-// LookupResult is an engine's true state for one prompt.
+// LookupResult is the actual state of an engine with respect to one prompt.
 type LookupResult struct {
 	CachedTokens  int `json:"cached_tokens"`
 	PrefillTokens int `json:"prefill_tokens"`
@@ -289,8 +296,8 @@
 	Waiting       int `json:"waiting"`
 }
 
-// Lookup asks a stand-in engine for its true state. Only the bench's oracle
-// policy calls it; real engines have no such thing.
+// Lookup queries a stand-in engine for its actual state. Only the oracle policy
+// of the benchmark calls it; real engines do not provide this endpoint.
 func (e *Engine) Lookup(ctx context.Context, hashes []uint64, tokens []int) (LookupResult, error) {
 	body, err := json.Marshal(struct {
 		Hashes []uint64 `json:"hashes"`
@@ -305,7 +312,7 @@
 }
 
 func (e *Engine) call(ctx context.Context, method, path string, body []byte, out any) error {
-	req, err := http.NewRequestWithContext(ctx, method, e.base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, e.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("build call: %w", err)
 	}
--- a/target/service.go
+++ b/target/service.go
@@ -8,49 +8,49 @@
 	"net/http"
 )
 
-// maxAnswer bounds a plain service's answer, in bytes.
-const maxAnswer = 4 << 20
+// maxAnswerBytes bounds the body of a plain service's response.
+const maxAnswerBytes = 4 << 20
 
 // Service is a client of one instance of a plain service.
 type Service struct {
-	base string
-	http *http.Client
-	// once makes a new connection for each call: a kept connection that the
-	// service closes just then leaves the outcome of a send unknown.
-	once *http.Client
+	baseURL string
+	http    *http.Client
+	// withoutKeepAlive opens a new connection for each call. If the service closes
+	// an idle connection while a call is sent on it, the outcome is unknown.
+	withoutKeepAlive *http.Client
 }
 
-// NewService returns a client of the instance at base.
-func NewService(base string) *Service {
-	once := newHTTPClient()
-	once.Transport.(*http.Transport).DisableKeepAlives = true
-	return &Service{base: base, http: newHTTPClient(), once: once}
+// NewService returns a client of the service instance at baseURL.
+func NewService(baseURL string) *Service {
+	withoutKeepAlive := newHTTPClient()
+	withoutKeepAlive.Transport.(*http.Transport).DisableKeepAlives = true
+	return &Service{baseURL: baseURL, http: newHTTPClient(), withoutKeepAlive: withoutKeepAlive}
 }
 
-// Call is one call of a plain service.
+// Call is a request to a plain service.
 type Call struct {
 	RequestID   string
 	Method      string
 	Path        string
 	ContentType string
 	Body        []byte
-	// IdempotencyKey is passed on; the service need not look at it.
+	// IdempotencyKey is forwarded to the service, which may ignore it.
 	IdempotencyKey string
-	// NoResend keeps the HTTP library from sending the call a second time by itself.
+	// NoResend prevents the HTTP library from sending the call again on its own.
 	NoResend bool
 }
 
-// Answer is a service's whole answer.
+// Answer is the complete response of a service.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Do sends the call once. ErrNotSent means that nothing was sent; any other
-// error leaves open whether the call ran.
+// Do sends the call. ErrNotSent means that nothing was sent; after any other
+// error it is unknown whether the call was executed.
 func (s *Service) Do(ctx context.Context, c Call) (Answer, error) {
-	req, err := http.NewRequestWithContext(ctx, c.Method, s.base+c.Path, bodyOf(c))
+	req, err := http.NewRequestWithContext(ctx, c.Method, s.baseURL+c.Path, requestBody(c))
 	if err != nil {
 		return Answer{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
@@ -63,28 +63,28 @@
 	}
 	client := s.http
 	if c.NoResend {
-		client = s.once
+		client = s.withoutKeepAlive
 	}
 	resp, err := client.Do(req)
 	if err != nil {
 		return Answer{}, sendError(err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
 		return Answer{}, fmt.Errorf("read the service's answer: %w", err)
 	}
-	if len(body) > maxAnswer {
-		return Answer{}, fmt.Errorf("the service's answer is over %d bytes", maxAnswer)
+	if len(body) > maxAnswerBytes {
+		return Answer{}, fmt.Errorf("the service's answer is over %d bytes", maxAnswerBytes)
 	}
 	return Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
 
-// bodyOf hides the body's type from the HTTP library where the call may be
-// sent only once: net/http sends a request again on a new connection when a
-// kept one turns out to be closed, if it can rewind the body and the request
-// carries an Idempotency-Key. To the service that is a second send.
-func bodyOf(c Call) io.Reader {
+// requestBody returns the call's body, with its type hidden from the HTTP
+// library if the call must not be resent. net/http resends a request on a new
+// connection if an idle one turns out to be closed, the body can be rewound and
+// the request has an Idempotency-Key. The service would receive it twice.
+func requestBody(c Call) io.Reader {
 	if !c.NoResend {
 		return bytes.NewReader(c.Body)
 	}
