--- a/store/directory.go
+++ b/store/directory.go
@@ -19,9 +19,9 @@
 	http    *http.Client
 }
 
-// NewVMList returns a client for the list served at base, such as http://10.0.0.1:4000.
-func NewVMList(base string) *VMList {
-	return &VMList{baseURL: base, http: &http.Client{Timeout: listTimeout}}
+// NewVMList returns a client for the list served at baseURL, such as http://10.0.0.1:4000.
+func NewVMList(baseURL string) *VMList {
+	return &VMList{baseURL: baseURL, http: &http.Client{Timeout: listTimeout}}
 }
 
 // VMs implements Directory.
