--- a/store/store.go
+++ b/store/store.go
@@ -16,15 +16,15 @@
 var (
 	// ErrConflict is returned if the key's revision differs from the expected
 	// one. The caller reads the key again before it decides on another write.
-	ErrConflict = errors.New("key has a different revision than expected; read it again before writing")
+	ErrConflict = errors.New("the key has another revision; read it and decide again")
 	// ErrNotFound is returned if the key or lease does not exist.
-	ErrNotFound = errors.New("key or lease not found")
+	ErrNotFound = errors.New("no such key or lease")
 	// ErrCompacted is returned if the service has discarded the requested
 	// history. The caller lists again.
-	ErrCompacted = errors.New("requested history has been compacted; list again")
+	ErrCompacted = errors.New("the service no longer has this history; list again")
 	// ErrUnavailable is returned if the service did not accept the call, which
 	// therefore had no effect.
-	ErrUnavailable = errors.New("the platform's key-value service is unavailable; the call had no effect")
+	ErrUnavailable = errors.New("the platform's service cannot be reached; the call had no effect")
 )
 
 // Entry is one key with its value and the revision that last changed it.
