--- a/agent/agent.go
+++ b/agent/agent.go
@@ -36,7 +36,7 @@
 	config      *configsync.Server
 	links       *link.Pool
 	runner      *runner
-	caller      *caller
+	executor    *callExecutor
 	incarnation string
 	endpoints   endpoints
 
@@ -64,24 +64,24 @@
 		Store:      client,
 		Directory:  store.NewVMList(s.Platform.URL),
 		Links:      a.links,
-		OnEvent:    a.configEvent,
+		OnEvent:    a.recordConfigEvent,
 	})
 	a.config = configsync.NewServer(a.follower)
 	if s.Target.Kind == KindEngine {
 		a.runner = newRunner(s, target.NewEngine(s.Target.URL), a.metrics)
 	} else {
-		a.caller = a.newCaller(client)
+		a.executor = a.newCallExecutor(client)
 	}
 	a.endpoints = a.newEndpoints()
 	a.registerGauges()
 	return a
 }
 
-func (a *Agent) newCaller(store store.Store) *caller {
+func (a *Agent) newCallExecutor(store store.Store) *callExecutor {
 	l := a.settings.Ledger
-	return &caller{
+	return &callExecutor{
 		service: target.NewService(a.settings.Target.URL),
-		claims: &claims{
+		claims: &claimStore{
 			store: store,
 			self:  claim{Target: a.settings.Target.Name, Incarnation: a.incarnation},
 			ttl:   seconds(l.ClaimTTLS),
@@ -91,14 +91,14 @@
 		incarnation: a.incarnation,
 		slots:       a.settings.Queue.Slots,
 		metrics:     a.metrics,
-		home:        a.home,
+		homeStatus:  a.homeStatus,
 		ledger:      ledger.New(l.limits()),
 	}
 }
 
-// home reports whether this target is the first choice for a call's key among
+// homeStatus reports whether this target is the first choice for a call's key among
 // the configured ones, and since when this process has seen the same ones.
-func (a *Agent) home(k ledger.Key) (bool, time.Time) {
+func (a *Agent) homeStatus(k ledger.Key) (bool, time.Time) {
 	a.homeMu.Lock()
 	defer a.homeMu.Unlock()
 	if len(a.homeTargets) == 0 {
@@ -107,12 +107,12 @@
 	return placement.RankTargets(a.homeTargets, k.IdempotencyKey)[0] == a.settings.Target.Name, a.homeSince
 }
 
-// watchHomes notes when the configured targets of this agent's service change.
-func (a *Agent) watchHomes(ctx context.Context) {
+// watchServiceTargets notes when the configured targets of this agent's service change.
+func (a *Agent) watchServiceTargets(ctx context.Context) {
 	for {
 		changed := a.follower.Changed()
 		snapshot := a.follower.State().Snapshot
-		a.setHomes(snapshot.TargetsOfService(snapshot.Targets[a.settings.Target.Name].Service))
+		a.setHomeTargets(snapshot.TargetsOfService(snapshot.Targets[a.settings.Target.Name].Service))
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -121,7 +121,7 @@
 	}
 }
 
-func (a *Agent) setHomes(targets []string) {
+func (a *Agent) setHomeTargets(targets []string) {
 	a.homeMu.Lock()
 	defer a.homeMu.Unlock()
 	if slices.Equal(targets, a.homeTargets) {
@@ -131,7 +131,7 @@
 	a.homeSince = time.Now()
 }
 
-func (a *Agent) configEvent(event string, err error) {
+func (a *Agent) recordConfigEvent(event string, err error) {
 	a.metrics.configEvents.WithLabelValues(event).Inc()
 	a.log.WithError(err).WithField("event", event).Debug("following the configuration failed")
 }
@@ -154,17 +154,17 @@
 	telemetry.NewGaugeFunc(a.registry, "keel_agent_prefill_rate", "Measured prefill rate, tokens a second.", func() float64 {
 		a.runner.mu.Lock()
 		defer a.runner.mu.Unlock()
-		return a.runner.pace.rate
+		return a.runner.estimator.rate
 	})
 	telemetry.NewGaugeFunc(a.registry, "keel_agent_cache_lifetime_seconds", "How long cached blocks last after their last use; 0 while none is evicted.", func() float64 {
 		a.runner.mu.Lock()
 		defer a.runner.mu.Unlock()
-		return a.runner.belief.view.Lifetime() / 1000
+		return a.runner.cache.view.Lifetime() / 1000
 	})
 	telemetry.NewGaugeFunc(a.registry, "keel_agent_cache_blocks", "Blocks in the view of the engine's cache.", func() float64 {
 		a.runner.mu.Lock()
 		defer a.runner.mu.Unlock()
-		return float64(a.runner.belief.view.Len())
+		return float64(a.runner.cache.view.Len())
 	})
 }
 
@@ -184,7 +184,7 @@
 		http.Error(w, "no configuration yet", http.StatusServiceUnavailable)
 		return
 	}
-	if a.runner != nil && !a.runner.up() {
+	if a.runner != nil && !a.runner.engineUp() {
 		http.Error(w, "the engine does not answer", http.StatusServiceUnavailable)
 	}
 }
@@ -193,13 +193,13 @@
 func (a *Agent) Run(ctx context.Context) {
 	go a.follower.Run(ctx)
 	if a.runner != nil {
-		go (&orders{agent: a, store: a.store}).run(ctx)
+		go (&orderController{agent: a, store: a.store}).run(ctx)
 		go a.runner.watchCache(ctx)
 		a.runner.watchLoad(ctx)
 		return
 	}
-	go a.caller.claims.keepLease(ctx)
-	go a.watchHomes(ctx)
+	go a.executor.claims.maintainLease(ctx)
+	go a.watchServiceTargets(ctx)
 	a.sweepCalls(ctx)
 }
 
@@ -212,8 +212,8 @@
 	for {
 		select {
 		case <-ticker.C:
-			a.caller.claimLater(ctx)
-			a.caller.sweep(time.Now())
+			a.executor.claimUnclaimed(ctx)
+			a.executor.sweep(time.Now())
 		case <-ctx.Done():
 			return
 		}
@@ -224,7 +224,7 @@
 	if a.runner != nil {
 		return a.runner.active()
 	}
-	return a.caller.active()
+	return a.executor.active()
 }
 
 // drainInterval is how often a stop looks whether all has ended.
@@ -237,7 +237,7 @@
 	if a.runner != nil {
 		a.runner.stop()
 	} else {
-		a.caller.stop()
+		a.executor.stop()
 	}
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
--- a/agent/belief.go
+++ b/agent/belief.go
@@ -6,43 +6,43 @@
 	"acaciakeel/cache"
 )
 
-// belief is what the agent believes to be in its engine's cache: the view
+// cacheTracker is what the agent believes to be in its engine's cache: the view
 // made from events, and what its own requests show sooner than late events do.
-type belief struct {
+type cacheTracker struct {
 	view *cache.View
 	// pinned counts, for each boundary, the requests that run behind their
 	// first token: the engine keeps the blocks of a running request.
 	pinned map[uint64]int
-	// coming counts the requests that wait or prefill: by the time a later
+	// pending counts the requests that wait or prefill: by the time a later
 	// request runs, the engine has computed their prompts.
-	coming map[uint64]int
-	// computing counts those that prefill now.
-	computing map[uint64]int
-	// recent are boundaries of requests that have just ended.
-	recent map[uint64]time.Time
+	pending map[uint64]int
+	// prefilling counts those that prefill now.
+	prefilling map[uint64]int
+	// recentlyEnded are boundaries of requests that have just ended.
+	recentlyEnded map[uint64]time.Time
 }
 
-// recentFor is how long the end of a request vouches for its blocks: about as
+// recentTTL is how long the end of a request vouches for its blocks: about as
 // long as cache events are late, and less than an engine's turnover.
-const recentFor = 600 * time.Millisecond
+const recentTTL = 600 * time.Millisecond
 
-func newBelief() *belief {
-	return &belief{
-		view:      cache.NewView(),
-		pinned:    map[uint64]int{},
-		coming:    map[uint64]int{},
-		computing: map[uint64]int{},
-		recent:    map[uint64]time.Time{},
+func newCacheTracker() *cacheTracker {
+	return &cacheTracker{
+		view:          cache.NewView(),
+		pinned:        map[uint64]int{},
+		pending:       map[uint64]int{},
+		prefilling:    map[uint64]int{},
+		recentlyEnded: map[uint64]time.Time{},
 	}
 }
 
-// forget drops all that rests on an engine's boot that is over.
-func (b *belief) forget() {
+// resetOnBoot drops all that rests on an engine's boot that is over.
+func (b *cacheTracker) resetOnBoot() {
 	clear(b.pinned)
-	clear(b.recent)
+	clear(b.recentlyEnded)
 }
 
-func count(set map[uint64]int, hashes []uint64, by int) {
+func addCounts(set map[uint64]int, hashes []uint64, by int) {
 	for _, h := range hashes {
 		set[h] += by
 		if set[h] <= 0 {
@@ -54,23 +54,23 @@
 // maxRecent bounds the memory of ended requests; past it the old are dropped.
 const maxRecent = 4096
 
-// vouch remembers the boundaries of a request that has ended.
-func (b *belief) vouch(hashes []uint64, now time.Time) {
+// addRecent remembers the boundaries of a request that has ended.
+func (b *cacheTracker) addRecent(hashes []uint64, now time.Time) {
 	for _, h := range hashes {
-		b.recent[h] = now
+		b.recentlyEnded[h] = now
 	}
-	if len(b.recent) <= maxRecent {
+	if len(b.recentlyEnded) <= maxRecent {
 		return
 	}
-	for h, at := range b.recent {
-		if now.Sub(at) > recentFor {
-			delete(b.recent, h)
+	for h, at := range b.recentlyEnded {
+		if now.Sub(at) > recentTTL {
+			delete(b.recentlyEnded, h)
 		}
 	}
 }
 
-// cached returns the index of the deepest boundary that is cached now, or -1.
-func (b *belief) cached(root uint64, hashes []uint64, now time.Time) int {
+// deepestCached returns the index of the deepest boundary that is deepestCached now, or -1.
+func (b *cacheTracker) deepestCached(root uint64, hashes []uint64, now time.Time) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		if b.pinned[hashes[i]] > 0 || b.isRecent(hashes[i], now) || b.view.HasChain(root, hashes[i]) {
 			return i
@@ -79,34 +79,34 @@
 	return -1
 }
 
-func (b *belief) isRecent(hash uint64, now time.Time) bool {
-	at, ok := b.recent[hash]
+func (b *cacheTracker) isRecent(hash uint64, now time.Time) bool {
+	at, ok := b.recentlyEnded[hash]
 	if !ok {
 		return false
 	}
-	if now.Sub(at) > recentFor {
-		delete(b.recent, hash)
+	if now.Sub(at) > recentTTL {
+		delete(b.recentlyEnded, hash)
 		return false
 	}
 	return true
 }
 
-// expected returns the index of the deepest boundary that is cached now or
+// deepestExpected returns the index of the deepest boundary that is cached now or
 // will be once the requests at hand have run, or -1.
-func (b *belief) expected(root uint64, hashes []uint64, now time.Time) int {
+func (b *cacheTracker) deepestExpected(root uint64, hashes []uint64, now time.Time) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
-		if b.coming[hashes[i]] > 0 {
-			return max(i, b.cached(root, hashes, now))
+		if b.pending[hashes[i]] > 0 {
+			return max(i, b.deepestCached(root, hashes, now))
 		}
 	}
-	return b.cached(root, hashes, now)
+	return b.deepestCached(root, hashes, now)
 }
 
-// beingComputed returns the index of the deepest boundary that a request is
+// deepestPrefilling returns the index of the deepest boundary that a request is
 // prefilling at this moment, or -1.
-func (b *belief) beingComputed(hashes []uint64) int {
+func (b *cacheTracker) deepestPrefilling(hashes []uint64) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
-		if b.computing[hashes[i]] > 0 {
+		if b.prefilling[hashes[i]] > 0 {
 			return i
 		}
 	}
--- a/agent/call.go
+++ b/agent/call.go
@@ -14,19 +14,19 @@
 	"acaciakeel/target"
 )
 
-// caller makes calls of the plain service beside the agent. Its mutex guards
+// callExecutor makes calls of the plain service beside the agent. Its mutex guards
 // the ledger and the counts.
-type caller struct {
+type callExecutor struct {
 	service     *target.Service
-	claims      *claims
+	claims      *claimStore
 	started     time.Time
 	margin      time.Duration
 	incarnation string
 	slots       int
 	metrics     *metrics
-	// home reports whether this agent is the first choice for a key among the
+	// homeStatus reports whether this agent is the first choice for a key among the
 	// configured targets, and since when those targets are the same.
-	home func(k ledger.Key) (bool, time.Time)
+	homeStatus func(k ledger.Key) (bool, time.Time)
 
 	mu       sync.Mutex
 	ledger   *ledger.Ledger
@@ -40,21 +40,21 @@
 // claimTimeout bounds the claiming of one call.
 const claimTimeout = 3 * time.Second
 
-func (c *caller) call(ctx context.Context, req *keelv1.CallRequest) *keelv1.CallResponse {
+func (c *callExecutor) call(ctx context.Context, req *keelv1.CallRequest) *keelv1.CallResponse {
 	if req.RequireIncarnation != "" && req.RequireIncarnation != c.incarnation {
 		return c.refuse(refusal.New(refusal.AgentRestarted, "send to the process that is there now", "the process that was meant is gone"))
 	}
 	if req.Idempotent {
 		return c.callIdempotent(ctx, req)
 	}
-	return c.callOnce(ctx, req)
+	return c.callAtMostOnce(ctx, req)
 }
 
-func (c *caller) refuse(r *refusal.Error) *keelv1.CallResponse {
+func (c *callExecutor) refuse(r *refusal.Error) *keelv1.CallResponse {
 	return &keelv1.CallResponse{Refusal: encodeRefusal(r), Incarnation: c.incarnation}
 }
 
-func (c *caller) enter() *refusal.Error {
+func (c *callExecutor) acquireSlot() *refusal.Error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stopping {
@@ -67,31 +67,31 @@
 	return nil
 }
 
-func (c *caller) leave() {
+func (c *callExecutor) releaseSlot() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running--
 }
 
-func timeout(req *keelv1.CallRequest) time.Duration {
+func callTimeout(req *keelv1.CallRequest) time.Duration {
 	if req.DeadlineMs == 0 {
 		return defaultCallTimeout
 	}
 	return time.Duration(req.DeadlineMs) * time.Millisecond
 }
 
-func (c *caller) callIdempotent(ctx context.Context, req *keelv1.CallRequest) *keelv1.CallResponse {
-	if r := c.enter(); r != nil {
+func (c *callExecutor) callIdempotent(ctx context.Context, req *keelv1.CallRequest) *keelv1.CallResponse {
+	if r := c.acquireSlot(); r != nil {
 		return c.refuse(r)
 	}
-	defer c.leave()
-	ctx, cancel := context.WithTimeout(ctx, timeout(req))
+	defer c.releaseSlot()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout(req))
 	defer cancel()
 	answer, err := c.service.Do(ctx, serviceCall(req))
 	if err != nil {
 		return c.refuse(callRefusal(err))
 	}
-	return c.answered(ledger.Answer(answer), false)
+	return c.answerResponse(ledger.Answer(answer), false)
 }
 
 func serviceCall(req *keelv1.CallRequest) target.Call {
@@ -106,7 +106,7 @@
 	}
 }
 
-func (c *caller) answered(a ledger.Answer, replayed bool) *keelv1.CallResponse {
+func (c *callExecutor) answerResponse(a ledger.Answer, replayed bool) *keelv1.CallResponse {
 	return &keelv1.CallResponse{
 		Status:      uint32(a.Status),
 		ContentType: a.ContentType,
@@ -134,9 +134,9 @@
 	return d.Sum64()
 }
 
-// callOnce makes a call that may not be repeated: one send for each key,
+// callAtMostOnce makes a call that may not be repeated: one send for each key,
 // whoever asks and however often.
-func (c *caller) callOnce(ctx context.Context, req *keelv1.CallRequest) *keelv1.CallResponse {
+func (c *callExecutor) callAtMostOnce(ctx context.Context, req *keelv1.CallRequest) *keelv1.CallResponse {
 	key := ledgerKey(req)
 	c.mu.Lock()
 	verdict, record := c.ledger.Begin(key, ledger.Attempt{RequestID: req.RequestId, Number: req.Attempt}, bodyHash(req), time.Now())
@@ -146,12 +146,12 @@
 	case ledger.Run:
 		// The call goes on when its entry is gone: its outcome must be known
 		// to whoever asks next.
-		go c.runOnce(context.WithoutCancel(ctx), req, key, record)
+		go c.sendOnce(context.WithoutCancel(ctx), req, key, record)
 		return c.join(ctx, key, record, false)
 	case ledger.Join:
 		return c.join(ctx, key, record, true)
 	case ledger.Replay:
-		return c.answered(record.Answer, true)
+		return c.answerResponse(record.Answer, true)
 	case ledger.RefuseKeyReused:
 		return c.refuse(refusal.New(refusal.KeyReused, "use a new Idempotency-Key for a new call", "this Idempotency-Key came with another call before"))
 	case ledger.RefuseAbandoned:
@@ -163,7 +163,7 @@
 }
 
 // join waits for the end of a call that runs.
-func (c *caller) join(ctx context.Context, key ledger.Key, record *ledger.Record, replayed bool) *keelv1.CallResponse {
+func (c *callExecutor) join(ctx context.Context, key ledger.Key, record *ledger.Record, replayed bool) *keelv1.CallResponse {
 	c.mu.Lock()
 	done := record.Done
 	c.mu.Unlock()
@@ -176,33 +176,33 @@
 	defer c.mu.Unlock()
 	switch record.State {
 	case ledger.Done:
-		return c.answered(record.Answer, replayed)
+		return c.answerResponse(record.Answer, replayed)
 	case ledger.Unknown:
 		return c.refuse(refusal.NewUnknown("the answer to this call was lost"))
 	}
-	return c.notRun(record)
+	return c.notRunResponse(record)
 }
 
-// runOnce claims a call and sends it once.
-func (c *caller) runOnce(ctx context.Context, req *keelv1.CallRequest, key ledger.Key, record *ledger.Record) {
-	if r := c.enter(); r != nil {
-		c.notSent(key, record, r, claim{})
+// sendOnce claims a call and sends it once.
+func (c *callExecutor) sendOnce(ctx context.Context, req *keelv1.CallRequest, key ledger.Key, record *ledger.Record) {
+	if r := c.acquireSlot(); r != nil {
+		c.recordNotSent(key, record, r, claim{})
 		return
 	}
-	defer c.leave()
+	defer c.releaseSlot()
 	claimed, holder, r := c.permit(ctx, req, key, record)
 	if r != nil {
-		c.notSent(key, record, r, holder)
+		c.recordNotSent(key, record, r, holder)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, timeout(req))
+	ctx, cancel := context.WithTimeout(ctx, callTimeout(req))
 	defer cancel()
 	answer, err := c.service.Do(ctx, serviceCall(req))
 	if errors.Is(err, target.ErrNotSent) {
 		// The record still says Running, so nobody begins the call here while
 		// its claim is being given up.
 		c.releaseClaim(context.WithoutCancel(ctx), key, record, claimed)
-		c.notSent(key, record, callRefusal(err), claim{})
+		c.recordNotSent(key, record, callRefusal(err), claim{})
 		return
 	}
 	c.mu.Lock()
@@ -214,18 +214,18 @@
 	c.ledger.Finish(key, ledger.Answer(answer), time.Now())
 }
 
-// refused is what the record of a call that was not sent keeps, for those
+// unsentRefusal is what the record of a call that was not sent keeps, for those
 // who join it.
-type refused struct {
+type unsentRefusal struct {
 	refusal *refusal.Error
 	holder  claim
 }
 
-// notSent ends a record of a call that this process did not send.
-func (c *caller) notSent(key ledger.Key, record *ledger.Record, r *refusal.Error, holder claim) {
+// recordNotSent ends a record of a call that this process did not send.
+func (c *callExecutor) recordNotSent(key ledger.Key, record *ledger.Record, r *refusal.Error, holder claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	record.Refusal = refused{refusal: r, holder: holder}
+	record.Refusal = unsentRefusal{refusal: r, holder: holder}
 	if r.Outcome == refusal.NotRun {
 		c.ledger.MarkNotRun(key, time.Now())
 		return
@@ -233,8 +233,8 @@
 	c.ledger.MarkUnsent(key, time.Now())
 }
 
-func (c *caller) notRun(record *ledger.Record) *keelv1.CallResponse {
-	r, ok := record.Refusal.(refused)
+func (c *callExecutor) notRunResponse(record *ledger.Record) *keelv1.CallResponse {
+	r, ok := record.Refusal.(unsentRefusal)
 	if !ok {
 		return c.refuse(refusal.NewUnknown("the call was withdrawn and begun again"))
 	}
@@ -246,7 +246,7 @@
 
 // abandon settles an attempt whose answer its entry has lost. Only the
 // incarnation that the attempt was sent to can say that it did not run.
-func (c *caller) abandon(req *keelv1.AbandonRequest) ledger.State {
+func (c *callExecutor) abandon(req *keelv1.AbandonRequest) ledger.State {
 	if req.RequireIncarnation != c.incarnation {
 		return ledger.Unknown
 	}
@@ -256,14 +256,14 @@
 	return c.ledger.Abandon(key, ledger.Attempt{RequestID: req.RequestId, Number: req.Attempt}, time.Now())
 }
 
-// claimLater claims the calls that ran without a claim while the platform's
+// claimUnclaimed claims the calls that ran without a claim while the platform's
 // service was down.
-func (c *caller) claimLater(ctx context.Context) {
+func (c *callExecutor) claimUnclaimed(ctx context.Context) {
 	c.mu.Lock()
 	keys := c.ledger.Unclaimed()
 	c.mu.Unlock()
 	for _, key := range keys {
-		result, _, _ := c.claims.make(ctx, key)
+		result, _, _ := c.claims.acquire(ctx, key)
 		if result == claimFailed {
 			return
 		}
@@ -273,19 +273,19 @@
 	}
 }
 
-func (c *caller) sweep(now time.Time) {
+func (c *callExecutor) sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ledger.Expire(now)
 }
 
-func (c *caller) active() int {
+func (c *callExecutor) active() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.running
 }
 
-func (c *caller) stop() {
+func (c *callExecutor) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopping = true
--- a/agent/claim.go
+++ b/agent/claim.go
@@ -39,72 +39,72 @@
 type claimResult string
 
 const (
-	// claimOurs: the claim is this incarnation's.
-	claimOurs claimResult = "ours"
-	// claimOther: another agent's or incarnation's.
-	claimOther claimResult = "other"
+	// claimOwned: the claim is this incarnation's.
+	claimOwned claimResult = "ours"
+	// claimHeldElsewhere: another agent's or incarnation's.
+	claimHeldElsewhere claimResult = "other"
 	// claimFailed: the platform's service gave no certainty.
 	claimFailed claimResult = "failed"
 )
 
-// claims makes claims for one incarnation.
-type claims struct {
+// claimStore makes claimStore for one incarnation.
+type claimStore struct {
 	store store.Store
 	self  claim
 	ttl   time.Duration
 
-	mu      sync.Mutex
-	lease   store.LeaseID
-	granted time.Time
+	mu        sync.Mutex
+	lease     store.LeaseID
+	grantedAt time.Time
 }
 
-// leaseRenewal is how many leases an agent takes in one claim's lifetime:
+// leasesPerTTL is how many leases an agent takes in one claim's lifetime:
 // claims of one period share a lease, which is never renewed and takes them
 // away together.
-const leaseRenewal = 24
+const leasesPerTTL = 24
 
 func claimKey(k ledger.Key) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%q %q %q", k.Customer, k.Service, k.IdempotencyKey))
 	return claimPrefix + hex.EncodeToString(sum[:16])
 }
 
-// make claims a call and returns the claim's revision. A write whose answer
+// acquire claims a call and returns the claim's revision. A write whose answer
 // was lost may have taken effect, so it is settled by reading the claim back.
 // A claim that is ours already is written once more: a release of it that is
 // still on its way then finds another revision and does nothing.
-func (c *claims) make(ctx context.Context, k ledger.Key) (claimResult, claim, int64) {
+func (c *claimStore) acquire(ctx context.Context, k ledger.Key) (claimResult, claim, int64) {
 	revision := int64(0)
 	mine := c.self
 	mine.Nonce = uuid.NewString()
-	for range claimTries {
+	for range maxClaimWrites {
 		next, err := c.put(ctx, k, mine, revision)
 		switch {
 		case err == nil:
-			return claimOurs, mine, next
+			return claimOwned, mine, next
 		case errors.Is(err, store.ErrUnavailable), errors.Is(err, store.ErrNotFound):
 			return claimFailed, claim{}, 0
 		}
-		found, at, err := c.read(ctx, k)
+		found, foundRevision, err := c.read(ctx, k)
 		switch {
 		case errors.Is(err, store.ErrNotFound):
 			revision = 0
 		case err != nil:
 			return claimFailed, claim{}, 0
 		case found == mine:
-			return claimOurs, mine, at
+			return claimOwned, mine, foundRevision
 		case !found.sameOwner(mine):
-			return claimOther, found, 0
+			return claimHeldElsewhere, found, 0
 		default:
-			revision = at
+			revision = foundRevision
 		}
 	}
 	return claimFailed, claim{}, 0
 }
 
-// claimTries bounds the writes of one claim.
-const claimTries = 3
+// maxClaimWrites bounds the writes of one claim.
+const maxClaimWrites = 3
 
-func (c *claims) put(ctx context.Context, k ledger.Key, mine claim, ifRevision int64) (int64, error) {
+func (c *claimStore) put(ctx context.Context, k ledger.Key, mine claim, ifRevision int64) (int64, error) {
 	value, err := json.Marshal(mine)
 	if err != nil {
 		return 0, fmt.Errorf("encode claim: %w", err)
@@ -115,12 +115,12 @@
 	}
 	revision, err := c.store.Put(ctx, claimKey(k), value, ifRevision, lease)
 	if errors.Is(err, store.ErrNotFound) {
-		c.dropLease(lease)
+		c.discardLease(lease)
 	}
 	return revision, err
 }
 
-func (c *claims) read(ctx context.Context, k ledger.Key) (claim, int64, error) {
+func (c *claimStore) read(ctx context.Context, k ledger.Key) (claim, int64, error) {
 	entry, err := c.store.Get(ctx, claimKey(k))
 	if err != nil {
 		return claim{}, 0, err
@@ -135,23 +135,23 @@
 // release gives up the claim of a call that was not sent, so that another
 // agent can run it. Where that fails the claim stays, which is safe: calls
 // with this key then come to this agent.
-func (c *claims) release(ctx context.Context, k ledger.Key, revision int64) {
+func (c *claimStore) release(ctx context.Context, k ledger.Key, revision int64) {
 	_, _ = c.store.Delete(ctx, claimKey(k), revision)
 }
 
-// leaseTick is how often the lease of the next claims is looked after.
-const leaseTick = time.Second
+// leaseCheckInterval is how often the lease of the next claims is looked after.
+const leaseCheckInterval = time.Second
 
-// keepLease holds a lease ready. A grant whose answer is lost can't be read
+// maintainLease holds a lease ready. A grant whose answer is lost can't be read
 // back, as its id is the service's; so a claim must not depend on one that is
 // asked for on a call's way.
-func (c *claims) keepLease(ctx context.Context) {
-	ticker := time.NewTicker(leaseTick)
+func (c *claimStore) maintainLease(ctx context.Context) {
+	ticker := time.NewTicker(leaseCheckInterval)
 	defer ticker.Stop()
 	for {
-		if lease, age := c.leaseNow(); lease == "" || age > c.ttl/leaseRenewal/2 {
+		if lease, age := c.leaseAndAge(); lease == "" || age > c.ttl/leasesPerTTL/2 {
 			// Where it fails, the lease there is serves until its time is over.
-			_ = c.grant(ctx)
+			_ = c.grantLease(ctx)
 		}
 		select {
 		case <-ticker.C:
@@ -161,37 +161,37 @@
 	}
 }
 
-func (c *claims) leaseNow() (store.LeaseID, time.Duration) {
+func (c *claimStore) leaseAndAge() (store.LeaseID, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lease, time.Since(c.granted)
+	return c.lease, time.Since(c.grantedAt)
 }
 
-func (c *claims) grant(ctx context.Context) error {
-	asked := time.Now()
-	lease, err := c.store.Grant(ctx, c.ttl+c.ttl/leaseRenewal)
+func (c *claimStore) grantLease(ctx context.Context) error {
+	requestedAt := time.Now()
+	lease, err := c.store.Grant(ctx, c.ttl+c.ttl/leasesPerTTL)
 	if err != nil {
 		return fmt.Errorf("grant a lease for claims: %w", err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lease = lease
-	c.granted = asked
+	c.grantedAt = requestedAt
 	return nil
 }
 
-func (c *claims) currentLease(ctx context.Context) (store.LeaseID, error) {
-	if lease, age := c.leaseNow(); lease != "" && age < c.ttl/leaseRenewal {
+func (c *claimStore) currentLease(ctx context.Context) (store.LeaseID, error) {
+	if lease, age := c.leaseAndAge(); lease != "" && age < c.ttl/leasesPerTTL {
 		return lease, nil
 	}
-	if err := c.grant(ctx); err != nil {
+	if err := c.grantLease(ctx); err != nil {
 		return "", err
 	}
-	lease, _ := c.leaseNow()
+	lease, _ := c.leaseAndAge()
 	return lease, nil
 }
 
-func (c *claims) dropLease(lease store.LeaseID) {
+func (c *claimStore) discardLease(lease store.LeaseID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lease == lease {
--- a/agent/endpoints.go
+++ b/agent/endpoints.go
@@ -53,11 +53,11 @@
 func (a *Agent) callEndpoint(ctx context.Context, request any) (any, error) {
 	req := request.(*keelv1.CallRequest)
 	a.follower.Hint(int64(req.ConfigRevision))
-	if a.caller == nil {
+	if a.executor == nil {
 		r := refusal.New(refusal.NoTarget, "check the Target resource", "this agent's target is no plain service")
 		return &keelv1.CallResponse{Refusal: encodeRefusal(r)}, nil
 	}
-	return a.caller.call(ctx, req), nil
+	return a.executor.call(ctx, req), nil
 }
 
 func (a *Agent) abandonEndpoint(_ context.Context, request any) (any, error) {
@@ -66,7 +66,7 @@
 		a.runner.abandon(jobID(req.Customer, req.RequestId, req.Attempt), time.Now())
 		return &keelv1.AbandonResponse{Outcome: string(ledger.Unknown)}, nil
 	}
-	return &keelv1.AbandonResponse{Outcome: string(a.caller.abandon(req)), Incarnation: a.incarnation}, nil
+	return &keelv1.AbandonResponse{Outcome: string(a.executor.abandon(req)), Incarnation: a.incarnation}, nil
 }
 
 // Ask implements AgentServiceHandler.
--- a/agent/feed.go
+++ b/agent/feed.go
@@ -16,14 +16,14 @@
 // maxResumes bounds how often one stream of an engine is opened again.
 const maxResumes = 5
 
-// run gives a job to the engine and fills its buffer until the end.
-func (r *runner) run(j *job) {
+// runJob gives a job to the engine and fills its buffer until the end.
+func (r *runner) runJob(j *job) {
 	s, err := r.engine.Start(j.ctx, j.completion())
 	if err != nil {
-		r.end(j, stream.Finish{Err: startRefusal(err)}, time.Now())
+		r.finishAndDispatch(j, stream.Finish{Err: startRefusal(err)}, time.Now())
 		return
 	}
-	r.feed(j, s)
+	r.bufferStream(j, s)
 }
 
 // startRefusal tells a request that the engine never had from one that it may
@@ -36,16 +36,16 @@
 	return e
 }
 
-// feed reads the engine's stream into the job's buffer. A stream that breaks
+// bufferStream reads the engine's stream into the job's buffer. A stream that breaks
 // or goes silent is resumed at its offset on a new connection, as long as the
 // engine still knows it.
-func (r *runner) feed(j *job, s *target.Stream) {
+func (r *runner) bufferStream(j *job, s *target.Stream) {
 	resumes := 0
 	for {
-		finish, err := r.read(j, s)
+		finish, err := r.readChunks(j, s)
 		s.Close()
 		if err == nil {
-			r.end(j, finish, time.Now())
+			r.finishAndDispatch(j, finish, time.Now())
 			return
 		}
 		if j.ctx.Err() != nil {
@@ -54,19 +54,19 @@
 		}
 		resumes++
 		if resumes > maxResumes {
-			r.end(j, stream.Finish{Err: brokenRefusal(err)}, time.Now())
+			r.finishAndDispatch(j, stream.Finish{Err: streamBrokenRefusal(err)}, time.Now())
 			return
 		}
 		r.metrics.engineResumes.Inc()
 		s, err = r.engine.Resume(j.ctx, j.id, j.buffer.EndOffset())
 		if err != nil {
-			r.end(j, stream.Finish{Err: brokenRefusal(err)}, time.Now())
+			r.finishAndDispatch(j, stream.Finish{Err: streamBrokenRefusal(err)}, time.Now())
 			return
 		}
 	}
 }
 
-func brokenRefusal(err error) *refusal.Error {
+func streamBrokenRefusal(err error) *refusal.Error {
 	e := refusal.New(refusal.TargetFailed, "the stream goes on at another runner", "the engine's stream broke: %v", err)
 	e.Outcome = refusal.Unknown
 	return e
@@ -74,19 +74,19 @@
 
 var errSilent = errors.New("the engine's stream went silent")
 
-// read takes chunks until the stream's end. The watchdog closes a connection
+// readChunks takes chunks until the stream's end. The watchdog closes a connection
 // that has gone silent: something on the way may have lost track of it, and
 // reading on would wait for ever.
-func (r *runner) read(j *job, s *target.Stream) (stream.Finish, error) {
+func (r *runner) readChunks(j *job, s *target.Stream) (stream.Finish, error) {
 	silence := settings.Millis(r.settings.Stream.EngineSilenceMS)
-	watchdog := time.AfterFunc(r.patience(j), s.Close)
+	watchdog := time.AfterFunc(r.firstChunkTimeout(j), s.Close)
 	defer watchdog.Stop()
 	stop := context.AfterFunc(j.ctx, s.Close)
 	defer stop()
 	for {
 		c, err := s.Next()
 		if err != nil {
-			return stream.Finish{}, fmt.Errorf("%w or broke: %w", errSilent, noEOF(err))
+			return stream.Finish{}, fmt.Errorf("%w or broke: %w", errSilent, unexpectedEOF(err))
 		}
 		watchdog.Reset(silence)
 		if c.FinishReason != "" {
@@ -105,23 +105,23 @@
 	}
 }
 
-func noEOF(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// patience is how long the first chunk may take: silence on top of several
+// firstChunkTimeout is how long the first chunk may take: silence on top of several
 // times the expected prefill.
-func (r *runner) patience(j *job) time.Duration {
+func (r *runner) firstChunkTimeout(j *job) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	silence := settings.Millis(r.settings.Stream.EngineSilenceMS)
 	if j.phase != prefilling {
 		return silence
 	}
-	return silence + 4*r.pace.cost(r.prefillTokens)
+	return silence + 4*r.estimator.prefillTime(r.prefillTokens)
 }
 
 func finishOf(c target.Chunk) stream.Finish {
--- a/agent/generate.go
+++ b/agent/generate.go
@@ -21,16 +21,16 @@
 	if a.runner == nil {
 		return a.sendRefusal(out, refusal.New(refusal.NoTarget, "check the Target resource", "this agent's target is no engine"))
 	}
-	j, refused := a.job(ctx, req.Msg)
+	j, refused := a.findOrSubmit(ctx, req.Msg)
 	if refused != nil {
 		return a.sendRefusal(out, refused)
 	}
 	return a.sendEvents(ctx, j, int(req.Msg.Offset), out)
 }
 
-func (a *Agent) job(ctx context.Context, req *keelv1.GenerateRequest) (*job, *refusal.Error) {
+func (a *Agent) findOrSubmit(ctx context.Context, req *keelv1.GenerateRequest) (*job, *refusal.Error) {
 	if req.AttachOnly {
-		return a.runner.adopt(ctx, req)
+		return a.runner.findOrAdopt(ctx, req)
 	}
 	return a.runner.submit(req, time.Now())
 }
@@ -57,7 +57,7 @@
 	a.runner.attach(j)
 	defer func() { a.runner.detach(j, time.Now()) }()
 	if !j.buffer.CanReadFrom(offset) {
-		return a.sendRefusal(out, lostRefusal())
+		return a.sendRefusal(out, streamLostRefusal())
 	}
 	interval := settings.Millis(a.settings.Stream.HeartbeatMS)
 	heartbeat := time.NewTimer(interval)
@@ -108,16 +108,16 @@
 	}}})
 }
 
-func lostRefusal() *refusal.Error {
+func streamLostRefusal() *refusal.Error {
 	e := refusal.New(refusal.ResumeUnavailable, "the stream goes on at another runner", "this agent has lost the stream")
 	e.Outcome = refusal.Unknown
 	return e
 }
 
-// adopt returns the job that an entry wants to go on reading. An agent that
+// findOrAdopt returns the job that an entry wants to go on reading. An agent that
 // was restarted has no such job, but its engine may still run it: then the
 // stream is taken over from the engine at the entry's offset.
-func (r *runner) adopt(ctx context.Context, req *keelv1.GenerateRequest) (*job, *refusal.Error) {
+func (r *runner) findOrAdopt(ctx context.Context, req *keelv1.GenerateRequest) (*job, *refusal.Error) {
 	id := jobID(req.Customer, req.RequestId, req.Attempt)
 	r.mu.Lock()
 	j := r.jobs[id]
@@ -127,25 +127,25 @@
 		return j, nil
 	}
 	if stopping {
-		return nil, lostRefusal()
+		return nil, streamLostRefusal()
 	}
 	s, err := r.engine.Resume(context.WithoutCancel(ctx), id, int(req.Offset))
 	if err != nil {
 		return nil, adoptRefusal(err)
 	}
 	r.metrics.adopted.Inc()
-	return r.takeOver(req, s), nil
+	return r.adoptStream(req, s), nil
 }
 
 func adoptRefusal(err error) *refusal.Error {
 	if errors.Is(err, target.ErrGone) {
-		return lostRefusal()
+		return streamLostRefusal()
 	}
-	return brokenRefusal(err)
+	return streamBrokenRefusal(err)
 }
 
-// takeOver registers a job whose engine stream is already running.
-func (r *runner) takeOver(req *keelv1.GenerateRequest, s *target.Stream) *job {
+// adoptStream registers a job whose engine stream is already running.
+func (r *runner) adoptStream(req *keelv1.GenerateRequest, s *target.Stream) *job {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := jobID(req.Customer, req.RequestId, req.Attempt)
@@ -156,11 +156,11 @@
 	now := time.Now()
 	j := newJob(req, int(req.Offset), now)
 	j.phase = decoding
-	j.dispatched = now
+	j.dispatchedAt = now
 	// Nothing is claimed of this request's blocks: its boot is not known here.
 	j.bootID = ""
 	r.running++
 	r.jobs[id] = j
-	go r.feed(j, s)
+	go r.bufferStream(j, s)
 	return j
 }
--- a/agent/job.go
+++ b/agent/job.go
@@ -33,15 +33,15 @@
 
 	// The rest is guarded by the runner's mutex.
 	phase phase
-	// claimed is the tokens that the agent believed to be cached when the job
+	// cachedTokens is the tokens that the agent believed to be cached when the job
 	// was given to the engine; missing is the rest.
-	claimed    int
-	missing    int
-	bootID     string
-	dispatched time.Time
-	readers    int
-	unread     time.Time
-	endedAt    time.Time
+	cachedTokens   int
+	uncachedTokens int
+	bootID         string
+	dispatchedAt   time.Time
+	readers        int
+	unreadSince    time.Time
+	endedAt        time.Time
 }
 
 // jobID names an attempt, here and at the engine. The customer is part of it,
@@ -54,12 +54,12 @@
 func newJob(req *keelv1.GenerateRequest, base int, now time.Time) *job {
 	ctx, cancel := context.WithCancel(context.Background())
 	j := &job{
-		id:     jobID(req.Customer, req.RequestId, req.Attempt),
-		req:    req,
-		buffer: stream.NewBuffer(base),
-		ctx:    ctx,
-		cancel: cancel,
-		unread: now,
+		id:          jobID(req.Customer, req.RequestId, req.Attempt),
+		req:         req,
+		buffer:      stream.NewBuffer(base),
+		ctx:         ctx,
+		cancel:      cancel,
+		unreadSince: now,
 	}
 	j.item = &admission.Item{
 		ID:           j.id,
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -14,7 +14,7 @@
 	claimWrites   *prometheus.CounterVec
 	cacheEvents   *prometheus.CounterVec
 	resyncs       prometheus.Counter
-	claims        *prometheus.CounterVec
+	claimedTokens *prometheus.CounterVec
 	queueWait     prometheus.Observer
 	engineResumes prometheus.Counter
 	duplicates    prometheus.Counter
@@ -36,7 +36,7 @@
 		claimWrites:   telemetry.NewCounter(r, "keel_agent_claims_total", "Claims at the platform's service, by result.", "result"),
 		cacheEvents:   telemetry.NewCounter(r, "keel_agent_cache_events_total", "Cache events, by what they did to the view.", "verdict"),
 		resyncs:       counter(r, "keel_agent_cache_resyncs_total", "Dumps of the engine's cache taken."),
-		claims:        telemetry.NewCounter(r, "keel_agent_claimed_tokens_total", "Tokens believed cached against the engine's answer: held, over, under.", "truth"),
+		claimedTokens: telemetry.NewCounter(r, "keel_agent_claimed_tokens_total", "Tokens believed cached against the engine's answer: held, over, under.", "truth"),
 		queueWait:     telemetry.NewLatency(r, "keel_agent_queue_wait_seconds", "Time in the queue.").WithLabelValues(),
 		engineResumes: counter(r, "keel_agent_engine_resumes_total", "Engine streams opened again at their offset."),
 		duplicates:    counter(r, "keel_agent_duplicates_total", "Tokens that an engine sent twice and that were dropped."),
--- a/agent/runner.go
+++ b/agent/runner.go
@@ -33,18 +33,18 @@
 	draining     bool
 	queue        *admission.Queue
 	reservations *admission.Reservations
-	belief       *belief
-	pace         pace
+	cache        *cacheTracker
+	estimator    rateEstimator
 	jobs         map[string]*job
-	began        time.Time
-	// eventDue is when the events of a computed prompt must have come; zero
+	startedAt    time.Time
+	// eventDeadline is when the events of a computed prompt must have come; zero
 	// while none are owed.
-	eventDue time.Time
+	eventDeadline time.Time
 	// running and prefillTokens are what the engine was given.
 	running       int
 	prefillTokens int
-	// hold is the mean time that a request keeps its slot after its first token.
-	hold time.Duration
+	// meanSlotTime is the mean time that a request keeps its slot after its first token.
+	meanSlotTime time.Duration
 }
 
 func newRunner(s Settings, engine *target.Engine, m *metrics) *runner {
@@ -54,15 +54,15 @@
 		metrics:      m,
 		queue:        admission.NewQueue(s.Queue.limits()),
 		reservations: admission.NewReservations(settings.Millis(s.Queue.ReservationMS)),
-		belief:       newBelief(),
-		pace:         pace{rate: s.Queue.PrefillRate},
+		cache:        newCacheTracker(),
+		estimator:    rateEstimator{rate: s.Queue.PrefillRate},
 		jobs:         map[string]*job{},
-		began:        time.Now(),
+		startedAt:    time.Now(),
 	}
 }
 
-// ready reports whether a request for weights can be taken now.
-func (r *runner) ready(weightsVersion string) *refusal.Error {
+// checkReady reports whether a request for weights can be taken now.
+func (r *runner) checkReady(weightsVersion string) *refusal.Error {
 	switch {
 	case r.stopping:
 		return refusal.New(refusal.Stopping, "send to another entry or again at once", "the agent is stopping")
@@ -87,20 +87,20 @@
 		return j, nil
 	}
 	r.reservations.Release(req.Reservation)
-	if err := r.ready(req.WeightsVersion); err != nil {
+	if err := r.checkReady(req.WeightsVersion); err != nil {
 		return nil, err
 	}
 	j := newJob(req, 0, now)
-	r.estimate(j, now)
-	decision := r.queue.Push(j.item, r.wait(r.queue.ExpectedBacklog(req.Customer, int(req.Priority)), now), now)
+	r.estimateCost(j, now)
+	decision := r.queue.Push(j.item, r.expectedWait(r.queue.ExpectedBacklog(req.Customer, int(req.Priority)), now), now)
 	if decision.Refused != admission.Admitted {
 		return nil, queueRefusal(decision.Refused, decision.RetryAfter)
 	}
 	if decision.Evicted != nil {
-		r.finish(r.jobs[decision.Evicted.ID], stream.Finish{Err: queueRefusal(admission.QueueFull, decision.RetryAfter)}, now)
+		r.finishLocked(r.jobs[decision.Evicted.ID], stream.Finish{Err: queueRefusal(admission.QueueFull, decision.RetryAfter)}, now)
 	}
 	r.jobs[j.id] = j
-	count(r.belief.coming, req.BoundaryHash, 1)
+	addCounts(r.cache.pending, req.BoundaryHash, 1)
 	r.dispatch(now)
 	return j, nil
 }
@@ -116,8 +116,8 @@
 	return refusal.New(refusal.QueueFull, remedy, "the target's queue is full").WithRetryAfter(after)
 }
 
-// eventWorthy is how many computed tokens surely make a cache event: several blocks.
-const eventWorthy = 256
+// minEventTokens is how many computed tokens surely make a cache event: several blocks.
+const minEventTokens = 256
 
 // firstToken records that the engine has computed j's prompt.
 func (r *runner) firstToken(j *job, now time.Time) {
@@ -127,109 +127,109 @@
 		return
 	}
 	r.endPrefill(j, true, now)
-	if j.missing > eventWorthy && r.eventDue.IsZero() {
-		r.eventDue = now.Add(eventSilence)
+	if j.uncachedTokens > minEventTokens && r.eventDeadline.IsZero() {
+		r.eventDeadline = now.Add(eventTimeout)
 	}
 	j.phase = decoding
 	if j.bootID == r.state.bootID {
-		count(r.belief.pinned, j.item.PrefixHashes, 1)
+		addCounts(r.cache.pinned, j.item.PrefixHashes, 1)
 	}
-	r.touch(j, now)
+	r.touchBlocks(j, now)
 	r.dispatch(now)
 }
 
-// touch tells the view which blocks a request has used.
-func (r *runner) touch(j *job, now time.Time) {
-	r.belief.view.SetNow(r.clock(now))
+// touchBlocks tells the view which blocks a request has used.
+func (r *runner) touchBlocks(j *job, now time.Time) {
+	r.cache.view.SetNow(r.viewTime(now))
 	if n := len(j.item.PrefixHashes); n > 0 {
-		r.belief.view.Touch(j.req.Root, j.item.PrefixHashes[n-1])
+		r.cache.view.Touch(j.req.Root, j.item.PrefixHashes[n-1])
 	}
 }
 
-// clock returns the milliseconds since the agent began.
-func (r *runner) clock(now time.Time) uint32 {
-	return uint32(now.Sub(r.began).Milliseconds()) + 1
+// viewTime returns the milliseconds since the agent began.
+func (r *runner) viewTime(now time.Time) uint32 {
+	return uint32(now.Sub(r.startedAt).Milliseconds()) + 1
 }
 
-func (r *runner) endPrefill(j *job, whole bool, now time.Time) {
-	r.pace.end(j.missing, whole, now)
-	r.prefillTokens -= j.missing
-	count(r.belief.computing, j.item.PrefixHashes, -1)
-	count(r.belief.coming, j.item.PrefixHashes, -1)
+func (r *runner) endPrefill(j *job, completed bool, now time.Time) {
+	r.estimator.end(j.uncachedTokens, completed, now)
+	r.prefillTokens -= j.uncachedTokens
+	addCounts(r.cache.prefilling, j.item.PrefixHashes, -1)
+	addCounts(r.cache.pending, j.item.PrefixHashes, -1)
 }
 
-// end ends a job that the engine had.
-func (r *runner) end(j *job, f stream.Finish, now time.Time) {
+// finishAndDispatch ends a job that the engine had.
+func (r *runner) finishAndDispatch(j *job, f stream.Finish, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.finish(j, f, now)
+	r.finishLocked(j, f, now)
 	r.dispatch(now)
 }
 
-// holdWeight is the weight of one request in the mean time of a slot.
-const holdWeight = 0.1
+// slotTimeWeight is the weight of one request in the mean time of a slot.
+const slotTimeWeight = 0.1
 
-func (r *runner) finish(j *job, f stream.Finish, now time.Time) {
+func (r *runner) finishLocked(j *job, f stream.Finish, now time.Time) {
 	switch j.phase {
 	case ended:
 		return
 	case waiting:
-		count(r.belief.coming, j.item.PrefixHashes, -1)
+		addCounts(r.cache.pending, j.item.PrefixHashes, -1)
 	case prefilling:
 		r.endPrefill(j, false, now)
 		r.running--
 	case decoding:
 		r.running--
-		r.hold += time.Duration(holdWeight * float64(now.Sub(j.dispatched)-r.hold))
+		r.meanSlotTime += time.Duration(slotTimeWeight * float64(now.Sub(j.dispatchedAt)-r.meanSlotTime))
 		if j.bootID == r.state.bootID {
-			count(r.belief.pinned, j.item.PrefixHashes, -1)
-			r.belief.vouch(j.item.PrefixHashes, now)
+			addCounts(r.cache.pinned, j.item.PrefixHashes, -1)
+			r.cache.addRecent(j.item.PrefixHashes, now)
 		}
 	}
 	j.phase = ended
 	j.endedAt = now
 	j.buffer.Close(f)
 	j.cancel()
-	r.noteTruth(j, f)
+	r.recordClaimAccuracy(j, f)
 }
 
-// noteTruth compares what was believed cached with what the engine used.
-func (r *runner) noteTruth(j *job, f stream.Finish) {
+// recordClaimAccuracy compares what was believed cached with what the engine used.
+func (r *runner) recordClaimAccuracy(j *job, f stream.Finish) {
 	if f.Err != nil || f.PromptTokens == 0 {
 		return
 	}
-	r.confirm(j, f.CachedTokens)
-	over := max(0, j.claimed-f.CachedTokens-r.settings.blockSlack())
-	under := max(0, f.CachedTokens-j.claimed)
-	r.metrics.claims.WithLabelValues("held").Add(float64(min(j.claimed, f.CachedTokens)))
-	r.metrics.claims.WithLabelValues("over").Add(float64(over))
-	r.metrics.claims.WithLabelValues("under").Add(float64(under))
+	r.confirmCached(j, f.CachedTokens)
+	over := max(0, j.cachedTokens-f.CachedTokens-r.settings.claimTolerance())
+	under := max(0, f.CachedTokens-j.cachedTokens)
+	r.metrics.claimedTokens.WithLabelValues("held").Add(float64(min(j.cachedTokens, f.CachedTokens)))
+	r.metrics.claimedTokens.WithLabelValues("over").Add(float64(over))
+	r.metrics.claimedTokens.WithLabelValues("under").Add(float64(under))
 }
 
-// confirm tells the view that the engine has just used a prompt's first
+// confirmCached tells the view that the engine has just used a prompt's first
 // tokens, so that they are claimed again after a gap in its events.
-func (r *runner) confirm(j *job, cached int) {
-	if j.bootID != r.belief.view.BootID() {
+func (r *runner) confirmCached(j *job, cached int) {
+	if j.bootID != r.cache.view.BootID() {
 		return
 	}
 	for i := len(j.req.BoundaryTokens) - 1; i >= 0; i-- {
 		if int(j.req.BoundaryTokens[i]) <= cached {
-			r.belief.view.Confirm(j.req.Root, j.req.BoundaryHash[i])
+			r.cache.view.Confirm(j.req.Root, j.req.BoundaryHash[i])
 			return
 		}
 	}
 }
 
-// blockSlack is the part of a claim that no engine can use: the prompt's last
+// claimTolerance is the part of a claim that no engine can use: the prompt's last
 // block is computed again for its first token.
-func (Settings) blockSlack() int {
+func (Settings) claimTolerance() int {
 	return 16
 }
 
-// expire refuses the waiting requests whose caller has stopped waiting.
-func (r *runner) expire(now time.Time) {
+// expireQueued refuses the waiting requests whose caller has stopped waiting.
+func (r *runner) expireQueued(now time.Time) {
 	for _, item := range r.queue.RemoveExpired(now) {
-		r.finish(r.jobs[item.ID], stream.Finish{Err: queueRefusal(admission.DeadlineUnmet, r.queue.Cost())}, now)
+		r.finishLocked(r.jobs[item.ID], stream.Finish{Err: queueRefusal(admission.DeadlineUnmet, r.queue.Cost())}, now)
 	}
 }
 
@@ -242,18 +242,18 @@
 		return
 	}
 	r.queue.Remove(id)
-	r.finish(j, stream.Finish{Err: queueRefusal(admission.Canceled, 0)}, now)
+	r.finishLocked(j, stream.Finish{Err: queueRefusal(admission.Canceled, 0)}, now)
 	r.dispatch(now)
 }
 
-// setState takes the control goroutine's news of the engine. A new boot, or
+// setEngineState takes the control goroutine's news of the engine. A new boot, or
 // an engine that is away, ends all belief about its cache at once.
-func (r *runner) setState(s engineState, now time.Time) {
+func (r *runner) setEngineState(s engineState, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s.up && s.bootID != r.state.bootID {
-		r.belief.view.ResetOnBoot(s.bootID)
-		r.belief.forget()
+		r.cache.view.ResetOnBoot(s.bootID)
+		r.cache.resetOnBoot()
 	}
 	r.state = s
 	r.dispatch(now)
@@ -269,9 +269,9 @@
 		switch {
 		case j.phase == ended && j.readers == 0 && now.Sub(j.endedAt) > kept:
 			delete(r.jobs, id)
-		case j.phase != ended && j.readers == 0 && now.Sub(j.unread) > orphan:
+		case j.phase != ended && j.readers == 0 && now.Sub(j.unreadSince) > orphan:
 			r.queue.Remove(id)
-			r.finish(j, stream.Finish{Err: queueRefusal(admission.Canceled, 0)}, now)
+			r.finishLocked(j, stream.Finish{Err: queueRefusal(admission.Canceled, 0)}, now)
 			r.metrics.orphans.Inc()
 		}
 	}
@@ -288,7 +288,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j.readers--
-	j.unread = now
+	j.unreadSince = now
 }
 
 // active returns how many jobs have not ended or are still being read.
@@ -310,21 +310,21 @@
 	r.stopping = true
 }
 
-func (r *runner) up() bool {
+func (r *runner) engineUp() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.up
 }
 
-// drain stops or takes up again the taking of new requests, for an order.
-func (r *runner) drain(on bool) {
+// setDraining stops or takes up again the taking of new requests, for an order.
+func (r *runner) setDraining(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.draining = on
 }
 
-// orderState returns the engine's state, and whether nothing waits or runs.
-func (r *runner) orderState() (engineState, bool) {
+// engineStateAndIdle returns the engine's state, and whether nothing waits or runs.
+func (r *runner) engineStateAndIdle() (engineState, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state, r.running == 0 && r.queue.Len() == 0
--- a/agent/settings.go
+++ b/agent/settings.go
@@ -152,16 +152,16 @@
 	return admission.Limits{MaxLength: q.Length, MaxWait: settings.Millis(q.WaitMS)}
 }
 
-// tombstones is how long an abandoned attempt is remembered: no copy of a
+// tombstoneTTL is how long an abandoned attempt is remembered: no copy of a
 // message stays in a connection for longer.
-const tombstones = 10 * time.Minute
+const tombstoneTTL = 10 * time.Minute
 
 func (l LedgerSettings) limits() ledger.Limits {
 	return ledger.Limits{
 		MaxRecords:         l.Records,
 		MaxAnswerBytes:     l.Bytes,
 		Retention:          seconds(l.RetentionS),
-		TombstoneRetention: tombstones,
+		TombstoneRetention: tombstoneTTL,
 	}
 }
 
--- a/agent/watch.go
+++ b/agent/watch.go
@@ -11,16 +11,16 @@
 const (
 	loadInterval = 100 * time.Millisecond
 	loadTimeout  = 400 * time.Millisecond
-	// awayAfter is how many failed load reports in a row make an engine away.
-	awayAfter = 2
-	// eventRetry is the pause before the event stream is opened again.
-	eventRetry = 50 * time.Millisecond
-	// resyncPause is the least time between two dumps of the engine's cache.
-	resyncPause = 200 * time.Millisecond
-	// resyncShare bounds the time spent on dumps: after one that took t, the
-	// next waits for t * resyncShare.
-	resyncShare = 50
-	dumpTimeout = 2 * time.Second
+	// maxLoadFailures is how many failed load reports in a row make an engine away.
+	maxLoadFailures = 2
+	// eventRetryDelay is the pause before the event stream is opened again.
+	eventRetryDelay = 50 * time.Millisecond
+	// minResyncInterval is the least time between two dumps of the engine's cache.
+	minResyncInterval = 200 * time.Millisecond
+	// resyncPauseFactor bounds the time spent on dumps: after one that took t, the
+	// next waits for t * resyncPauseFactor.
+	resyncPauseFactor = 50
+	dumpTimeout       = 2 * time.Second
 )
 
 // watchLoad follows the engine's load report: which boot, which weights, or away.
@@ -44,12 +44,12 @@
 	defer cancel()
 	load, err := r.engine.Load(ctx)
 	if err == nil {
-		r.setState(engineState{up: true, bootID: load.BootID, weightsVersion: load.WeightsVersion, loading: load.Loading}, time.Now())
+		r.setEngineState(engineState{up: true, bootID: load.BootID, weightsVersion: load.WeightsVersion, loading: load.Loading}, time.Now())
 		return 0
 	}
 	failures++
-	if failures >= awayAfter {
-		r.setState(engineState{}, time.Now())
+	if failures >= maxLoadFailures {
+		r.setEngineState(engineState{}, time.Now())
 	}
 	return failures
 }
@@ -57,17 +57,17 @@
 // watchCache follows the engine's cache events, from a dump on.
 func (r *runner) watchCache(ctx context.Context) {
 	for ctx.Err() == nil {
-		if r.resync(ctx) == nil {
+		if r.resyncCache(ctx) == nil {
 			r.followEvents(ctx)
 		}
 		select {
-		case <-time.After(eventRetry):
+		case <-time.After(eventRetryDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (r *runner) resync(ctx context.Context) error {
+func (r *runner) resyncCache(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, dumpTimeout)
 	defer cancel()
 	dump, err := r.engine.CacheDump(ctx)
@@ -77,18 +77,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if dump.BootID != r.state.bootID && r.state.up {
-		r.belief.forget()
+		r.cache.resetOnBoot()
 	}
-	r.belief.view.Resync(dump)
-	r.eventDue = time.Time{}
+	r.cache.view.Resync(dump)
+	r.eventDeadline = time.Time{}
 	r.metrics.resyncs.Inc()
 	return nil
 }
 
-// eventSilence is how long events may stay away after the engine has computed
+// eventTimeout is how long events may stay away after the engine has computed
 // a prompt. A stream that has gone silent for good ends without an error; the
 // view would then grow old unnoticed.
-const eventSilence = 2 * time.Second
+const eventTimeout = 2 * time.Second
 
 // followEvents applies events until their connection ends, goes silent, or
 // the engine is on another boot. A gap asks for a dump, at a bounded rate,
@@ -96,11 +96,11 @@
 func (r *runner) followEvents(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go r.endStaleEvents(ctx, cancel)
+	go r.cancelStaleEvents(ctx, cancel)
 	gaps := make(chan struct{}, 1)
 	go r.resyncOnGaps(ctx, gaps)
 	r.mu.Lock()
-	seq := r.belief.view.Seq()
+	seq := r.cache.view.Seq()
 	r.mu.Unlock()
 	err := r.engine.CacheEvents(ctx, seq, func(e cache.Event) {
 		if r.applyEvent(e) {
@@ -116,8 +116,8 @@
 	}
 }
 
-// endStaleEvents ends an event stream that can't be believed any more.
-func (r *runner) endStaleEvents(ctx context.Context, cancel context.CancelFunc) {
+// cancelStaleEvents ends an event stream that can't be believed any more.
+func (r *runner) cancelStaleEvents(ctx context.Context, cancel context.CancelFunc) {
 	ticker := time.NewTicker(loadInterval)
 	defer ticker.Stop()
 	for {
@@ -137,21 +137,21 @@
 func (r *runner) eventsStale(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.state.up && r.state.bootID != r.belief.view.BootID() {
+	if r.state.up && r.state.bootID != r.cache.view.BootID() {
 		return true
 	}
-	return !r.eventDue.IsZero() && now.After(r.eventDue)
+	return !r.eventDeadline.IsZero() && now.After(r.eventDeadline)
 }
 
 // applyEvent reports whether the view is whole after the event.
 func (r *runner) applyEvent(e cache.Event) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.eventDue = time.Time{}
-	r.belief.view.SetNow(r.clock(time.Now()))
-	verdict := r.belief.view.Apply(e)
+	r.eventDeadline = time.Time{}
+	r.cache.view.SetNow(r.viewTime(time.Now()))
+	verdict := r.cache.view.Apply(e)
 	r.metrics.cacheEvents.WithLabelValues(string(verdict)).Inc()
-	return !r.belief.view.HasGaps()
+	return !r.cache.view.HasGaps()
 }
 
 func (r *runner) resyncOnGaps(ctx context.Context, gaps <-chan struct{}) {
@@ -162,8 +162,8 @@
 			return
 		}
 		began := time.Now()
-		_ = r.resync(ctx)
-		pause := max(resyncPause, resyncShare*time.Since(began))
+		_ = r.resyncCache(ctx)
+		pause := max(minResyncInterval, resyncPauseFactor*time.Since(began))
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
