--- a/agent/agent.go
+++ b/agent/agent.go
@@ -25,7 +25,8 @@
 	"acaciakeel/vm"
 )
 
-// Agent is the process beside one target. Exactly one of runner and caller is set.
+// Agent is the process that runs beside one target. It has either a runner, for an
+// engine, or an executor, for a plain service.
 type Agent struct {
 	settings    Settings
 	log         *logrus.Entry
@@ -40,13 +41,14 @@
 	incarnation string
 	endpoints   endpoints
 
-	// homeTargets are the service's targets as last seen, since homeSince.
+	// homeMu guards homeTargets, the configured targets of this agent's service, and
+	// homeSince, the time at which this process first saw that set of targets.
 	homeMu      sync.Mutex
 	homeTargets []string
 	homeSince   time.Time
 }
 
-// New returns an agent that has not begun to run.
+// New returns an agent; Run starts it.
 func New(s Settings, log *logrus.Logger) *Agent {
 	a := &Agent{
 		settings:    s,
@@ -96,8 +98,9 @@
 	}
 }
 
-// homeStatus reports whether this target is the first choice for a call's key among
-// the configured ones, and since when this process has seen the same ones.
+// homeStatus reports whether this target ranks first for a call's key among the
+// configured targets of its service, and since when this process has seen that set of
+// targets.
 func (a *Agent) homeStatus(k ledger.Key) (bool, time.Time) {
 	a.homeMu.Lock()
 	defer a.homeMu.Unlock()
@@ -107,7 +110,7 @@
 	return placement.RankTargets(a.homeTargets, k.IdempotencyKey)[0] == a.settings.Target.Name, a.homeSince
 }
 
-// watchServiceTargets notes when the configured targets of this agent's service change.
+// watchServiceTargets updates homeTargets whenever the configuration changes.
 func (a *Agent) watchServiceTargets(ctx context.Context) {
 	for {
 		changed := a.follower.Changed()
@@ -133,7 +136,7 @@
 
 func (a *Agent) recordConfigEvent(event string, err error) {
 	a.metrics.configEvents.WithLabelValues(event).Inc()
-	a.log.WithError(err).WithField("event", event).Debug("following the configuration failed")
+	a.log.WithError(err).WithField("event", event).Debug("failed to follow the configuration")
 }
 
 func (a *Agent) registerGauges() {
@@ -168,7 +171,7 @@
 	})
 }
 
-// Handler serves the agent's messages, /metrics, /healthz and /readyz.
+// Handler serves the agent's RPCs, /metrics, /healthz and /readyz.
 func (a *Agent) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(keelv1connect.NewAgentServiceHandler(a))
@@ -189,7 +192,7 @@
 	}
 }
 
-// Run keeps the agent going until ctx ends.
+// Run runs the agent until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	go a.follower.Run(ctx)
 	if a.runner != nil {
@@ -203,9 +206,11 @@
 	a.sweepCalls(ctx)
 }
 
-// sweepInterval is how often old calls are looked for.
+// sweepInterval is the interval at which the ledger is swept.
 const sweepInterval = 5 * time.Second
 
+// sweepCalls periodically claims the calls that ran without a claim and removes expired
+// ones from the ledger.
 func (a *Agent) sweepCalls(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -227,11 +232,12 @@
 	return a.executor.active()
 }
 
-// drainInterval is how often a stop looks whether all has ended.
+// drainInterval is the interval at which Drain checks whether all work has ended.
 const drainInterval = 20 * time.Millisecond
 
-// Drain refuses new work, truthfully as not run, and waits until all that
-// runs has ended and been read, or ctx ends. It reports whether all ended.
+// Drain refuses new work with the outcome "not run" and waits until all running work
+// has ended and its results have been read, or until ctx ends. It reports whether all
+// work ended.
 func (a *Agent) Drain(ctx context.Context) bool {
 	a.config.Stop()
 	if a.runner != nil {
--- a/agent/ask.go
+++ b/agent/ask.go
@@ -9,7 +9,8 @@
 	"acaciakeel/target"
 )
 
-// ask answers an entry's question about one prompt.
+// ask answers an entry's query about one prompt: what is cached and how long the
+// request would wait.
 func (r *runner) ask(ctx context.Context, req *keelv1.AskRequest, now time.Time) *keelv1.AskResponse {
 	if req.Truth && r.settings.Target.Oracle {
 		return r.askOracle(ctx, req)
@@ -29,8 +30,8 @@
 		Weights:      prefix.NameHash(r.state.weightsVersion),
 	}
 	if answer.Ready {
-		// Only one of the agents asked will get the request: were each to
-		// reserve its whole cost, the others would look busy without being so.
+		// Several agents are asked, but only one gets the request. If each reserved the
+		// whole cost, the others would appear busy.
 		cost := r.estimator.prefillTime(max(0, int(req.PromptTokens)-expected)) / time.Duration(max(1, req.Asked))
 		r.reservations.Reserve(req.Reservation, cost, now)
 	}
@@ -42,8 +43,8 @@
 		prefix.NameHash(r.state.weightsVersion) == weights
 }
 
-// askOracle answers from a stand-in engine's true state, for the oracle policy
-// of the bench.
+// askOracle answers from the true state of a stand-in engine, for the oracle policy of
+// the benchmark.
 func (r *runner) askOracle(ctx context.Context, req *keelv1.AskRequest) *keelv1.AskResponse {
 	tokens := make([]int, len(req.BoundaryTokens))
 	for i, t := range req.BoundaryTokens {
@@ -55,7 +56,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// What waits here, or is on its way to the engine, is as true as what the engine has.
+	// Requests that are queued here or on their way to the engine count as well: their
+	// prompts will be cached.
 	expected := tokensAt(req.BoundaryTokens, r.cache.deepestExpected(req.Root, req.BoundaryHash, time.Now()))
 	wait := max(r.estimator.prefillTime(truth.PrefillTokens), r.expectedWait(r.queue.Ahead(req.Customer, int(req.Priority)), time.Now()))
 	return &keelv1.AskResponse{
--- a/agent/belief.go
+++ b/agent/belief.go
@@ -6,24 +6,25 @@
 	"acaciakeel/cache"
 )
 
-// cacheTracker is what the agent believes to be in its engine's cache: the view
-// made from events, and what its own requests show sooner than late events do.
+// cacheTracker tracks what the engine has cached: the view built from cache events, and
+// the agent's own requests, whose effects are known before the events arrive.
 type cacheTracker struct {
 	view *cache.View
-	// pinned counts, for each boundary, the requests that run behind their
-	// first token: the engine keeps the blocks of a running request.
+	// pinned counts, for each boundary, the requests past their first token: the engine
+	// keeps the blocks of a running request.
 	pinned map[uint64]int
-	// pending counts the requests that wait or prefill: by the time a later
-	// request runs, the engine has computed their prompts.
+	// pending counts the requests that are queued or prefilling: the engine will have
+	// computed their prompts before it runs a later request.
 	pending map[uint64]int
-	// prefilling counts those that prefill now.
+	// prefilling counts the requests whose prompts are being computed.
 	prefilling map[uint64]int
-	// recentlyEnded are boundaries of requests that have just ended.
+	// recentlyEnded maps the boundaries of ended requests to the time they ended.
 	recentlyEnded map[uint64]time.Time
 }
 
-// recentTTL is how long the end of a request vouches for its blocks: about as
-// long as cache events are late, and less than an engine's turnover.
+// recentTTL is how long the blocks of an ended request count as cached without an
+// event: about the delay of cache events, and less than the time in which an engine
+// replaces its cache.
 const recentTTL = 600 * time.Millisecond
 
 func newCacheTracker() *cacheTracker {
@@ -36,7 +37,7 @@
 	}
 }
 
-// resetOnBoot drops all that rests on an engine's boot that is over.
+// resetOnBoot discards what depends on the engine's previous boot.
 func (b *cacheTracker) resetOnBoot() {
 	clear(b.pinned)
 	clear(b.recentlyEnded)
@@ -51,10 +52,11 @@
 	}
 }
 
-// maxRecent bounds the memory of ended requests; past it the old are dropped.
+// maxRecent is the number of recently ended boundaries above which expired ones are
+// removed.
 const maxRecent = 4096
 
-// addRecent remembers the boundaries of a request that has ended.
+// addRecent records the boundaries of a request that has ended.
 func (b *cacheTracker) addRecent(hashes []uint64, now time.Time) {
 	for _, h := range hashes {
 		b.recentlyEnded[h] = now
@@ -69,7 +71,7 @@
 	}
 }
 
-// deepestCached returns the index of the deepest boundary that is deepestCached now, or -1.
+// deepestCached returns the index of the deepest boundary that is cached now, or -1.
 func (b *cacheTracker) deepestCached(root uint64, hashes []uint64, now time.Time) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		if b.pinned[hashes[i]] > 0 || b.isRecent(hashes[i], now) || b.view.HasChain(root, hashes[i]) {
@@ -91,8 +93,8 @@
 	return true
 }
 
-// deepestExpected returns the index of the deepest boundary that is cached now or
-// will be once the requests at hand have run, or -1.
+// deepestExpected returns the index of the deepest boundary that is cached now or will
+// be once the pending requests have run, or -1.
 func (b *cacheTracker) deepestExpected(root uint64, hashes []uint64, now time.Time) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		if b.pending[hashes[i]] > 0 {
@@ -102,8 +104,8 @@
 	return b.deepestCached(root, hashes, now)
 }
 
-// deepestPrefilling returns the index of the deepest boundary that a request is
-// prefilling at this moment, or -1.
+// deepestPrefilling returns the index of the deepest boundary that is part of a prompt
+// being computed now, or -1.
 func (b *cacheTracker) deepestPrefilling(hashes []uint64) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		if b.prefilling[hashes[i]] > 0 {
--- a/agent/call.go
+++ b/agent/call.go
@@ -14,8 +14,8 @@
 	"acaciakeel/target"
 )
 
-// callExecutor makes calls of the plain service beside the agent. Its mutex guards
-// the ledger and the counts.
+// callExecutor makes the calls to the plain service beside the agent. mu guards the
+// fields after it.
 type callExecutor struct {
 	service     *target.Service
 	claims      *claimStore
@@ -24,8 +24,9 @@
 	incarnation string
 	slots       int
 	metrics     *metrics
-	// homeStatus reports whether this agent is the first choice for a key among the
-	// configured targets, and since when those targets are the same.
+	// homeStatus reports whether this agent is the home of a key, that is the first
+	// choice among the configured targets, and since when these targets have been
+	// unchanged.
 	homeStatus func(k ledger.Key) (bool, time.Time)
 
 	mu       sync.Mutex
@@ -34,10 +35,10 @@
 	stopping bool
 }
 
-// defaultCallTimeout serves calls whose entry gave no deadline.
+// defaultCallTimeout applies to calls without a deadline.
 const defaultCallTimeout = 10 * time.Second
 
-// claimTimeout bounds the claiming of one call.
+// claimTimeout bounds the time to claim or release one call.
 const claimTimeout = 3 * time.Second
 
 func (c *callExecutor) call(ctx context.Context, req *keelv1.CallRequest) *keelv1.CallResponse {
@@ -134,8 +135,8 @@
 	return d.Sum64()
 }
 
-// callAtMostOnce makes a call that may not be repeated: one send for each key,
-// whoever asks and however often.
+// callAtMostOnce makes a call that must not be repeated. It is sent at most once for
+// each key, however many attempts arrive.
 func (c *callExecutor) callAtMostOnce(ctx context.Context, req *keelv1.CallRequest) *keelv1.CallResponse {
 	key := ledgerKey(req)
 	c.mu.Lock()
@@ -144,8 +145,8 @@
 	c.metrics.calls.WithLabelValues(string(verdict)).Inc()
 	switch verdict {
 	case ledger.Run:
-		// The call goes on when its entry is gone: its outcome must be known
-		// to whoever asks next.
+		// The call continues if its entry disconnects, because later attempts with the
+		// same key need its outcome.
 		go c.sendOnce(context.WithoutCancel(ctx), req, key, record)
 		return c.join(ctx, key, record, false)
 	case ledger.Join:
@@ -162,7 +163,7 @@
 	return c.refuse(refusal.NewUnknown("the answer to this call was lost"))
 }
 
-// join waits for the end of a call that runs.
+// join waits for a running call to end and returns its outcome.
 func (c *callExecutor) join(ctx context.Context, key ledger.Key, record *ledger.Record, replayed bool) *keelv1.CallResponse {
 	c.mu.Lock()
 	done := record.Done
@@ -183,7 +184,8 @@
 	return c.notRunResponse(record)
 }
 
-// sendOnce claims a call and sends it once.
+// sendOnce obtains the permission to send a call, sends it once and records the
+// outcome.
 func (c *callExecutor) sendOnce(ctx context.Context, req *keelv1.CallRequest, key ledger.Key, record *ledger.Record) {
 	if r := c.acquireSlot(); r != nil {
 		c.recordNotSent(key, record, r, claim{})
@@ -199,8 +201,8 @@
 	defer cancel()
 	answer, err := c.service.Do(ctx, serviceCall(req))
 	if errors.Is(err, target.ErrNotSent) {
-		// The record still says Running, so nobody begins the call here while
-		// its claim is being given up.
+		// The record stays in state Running until the claim is released, so that no
+		// other attempt starts the call here in the meantime.
 		c.releaseClaim(context.WithoutCancel(ctx), key, record, claimed)
 		c.recordNotSent(key, record, callRefusal(err), claim{})
 		return
@@ -214,14 +216,15 @@
 	c.ledger.Finish(key, ledger.Answer(answer), time.Now())
 }
 
-// unsentRefusal is what the record of a call that was not sent keeps, for those
-// who join it.
+// unsentRefusal is stored in the record of a call that was not sent, for the attempts
+// that joined it. holder is the owner of the claim if another agent has it.
 type unsentRefusal struct {
 	refusal *refusal.Error
 	holder  claim
 }
 
-// recordNotSent ends a record of a call that this process did not send.
+// recordNotSent ends the record of a call that this process did not send. The call
+// counts as not run only if the refusal says so.
 func (c *callExecutor) recordNotSent(key ledger.Key, record *ledger.Record, r *refusal.Error, holder claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -244,8 +247,8 @@
 	return answer
 }
 
-// abandon settles an attempt whose answer its entry has lost. Only the
-// incarnation that the attempt was sent to can say that it did not run.
+// abandon settles an attempt whose answer its entry has lost. Only the incarnation to
+// which the attempt was sent can tell that it did not run; any other returns Unknown.
 func (c *callExecutor) abandon(req *keelv1.AbandonRequest) ledger.State {
 	if req.RequireIncarnation != c.incarnation {
 		return ledger.Unknown
@@ -256,8 +259,8 @@
 	return c.ledger.Abandon(key, ledger.Attempt{RequestID: req.RequestId, Number: req.Attempt}, time.Now())
 }
 
-// claimUnclaimed claims the calls that ran without a claim while the platform's
-// service was down.
+// claimUnclaimed claims the calls that ran without a claim because the platform's
+// service was down. It stops at the first failure; the next sweep tries again.
 func (c *callExecutor) claimUnclaimed(ctx context.Context) {
 	c.mu.Lock()
 	keys := c.ledger.Unclaimed()
--- a/agent/claim.go
+++ b/agent/claim.go
@@ -16,38 +16,38 @@
 	"acaciakeel/store"
 )
 
-// claimPrefix starts the platform keys of claims.
+// claimPrefix is the prefix of claims' keys in the platform's store.
 const claimPrefix = "acaciakeel/claims/"
 
-// claim says which incarnation of which agent may run a call. It lies in the
-// platform's service, so that it survives the agent: whoever finds it after
-// the agent's death knows that the call may have run.
+// claim names the agent and incarnation that may run a call. It is stored in the
+// platform's service and so outlives the agent: another process that finds it knows
+// that the call may have run.
 type claim struct {
 	Target      string `json:"target"`
 	Incarnation string `json:"incarnation"`
-	// Nonce is new with every claiming, so that a write whose answer was lost
-	// can be told from an earlier claim of the same process.
+	// Nonce is unique to each acquisition, so that a write whose response was lost can
+	// be told from an earlier claim by the same process.
 	Nonce string `json:"nonce"`
 }
 
-// sameOwner reports whether two claims are of one process.
+// sameOwner reports whether both claims belong to the same process.
 func (c claim) sameOwner(other claim) bool {
 	return c.Target == other.Target && c.Incarnation == other.Incarnation
 }
 
-// claimResult is what an agent learned by claiming a call.
+// claimResult is the result of an attempt to claim a call.
 type claimResult string
 
 const (
-	// claimOwned: the claim is this incarnation's.
+	// claimOwned: this incarnation owns the claim.
 	claimOwned claimResult = "ours"
-	// claimHeldElsewhere: another agent's or incarnation's.
+	// claimHeldElsewhere: another agent or incarnation owns the claim.
 	claimHeldElsewhere claimResult = "other"
-	// claimFailed: the platform's service gave no certainty.
+	// claimFailed: the platform's service did not give a definite result.
 	claimFailed claimResult = "failed"
 )
 
-// claimStore makes claimStore for one incarnation.
+// claimStore acquires and releases claims for one incarnation.
 type claimStore struct {
 	store store.Store
 	self  claim
@@ -58,9 +58,9 @@
 	grantedAt time.Time
 }
 
-// leasesPerTTL is how many leases an agent takes in one claim's lifetime:
-// claims of one period share a lease, which is never renewed and takes them
-// away together.
+// leasesPerTTL is the number of leases that an agent takes during the lifetime of a
+// claim. The claims of one period share a lease; it is not renewed, and the claims
+// expire with it.
 const leasesPerTTL = 24
 
 func claimKey(k ledger.Key) string {
@@ -68,10 +68,10 @@
 	return claimPrefix + hex.EncodeToString(sum[:16])
 }
 
-// acquire claims a call and returns the claim's revision. A write whose answer
-// was lost may have taken effect, so it is settled by reading the claim back.
-// A claim that is ours already is written once more: a release of it that is
-// still on its way then finds another revision and does nothing.
+// acquire claims a call and returns the claim's revision. A write whose response was
+// lost may have taken effect, so the claim is read back. A claim that this incarnation
+// already owns is written again: a release of it that is still in flight then finds a
+// different revision and has no effect.
 func (c *claimStore) acquire(ctx context.Context, k ledger.Key) (claimResult, claim, int64) {
 	revision := int64(0)
 	mine := c.self
@@ -101,7 +101,7 @@
 	return claimFailed, claim{}, 0
 }
 
-// maxClaimWrites bounds the writes of one claim.
+// maxClaimWrites is the maximum number of writes for one claim.
 const maxClaimWrites = 3
 
 func (c *claimStore) put(ctx context.Context, k ledger.Key, mine claim, ifRevision int64) (int64, error) {
@@ -132,25 +132,25 @@
 	return found, entry.Revision, nil
 }
 
-// release gives up the claim of a call that was not sent, so that another
-// agent can run it. Where that fails the claim stays, which is safe: calls
-// with this key then come to this agent.
+// release deletes the claim of a call that was not sent, so that another agent can run
+// it. If that fails, the claim remains, which is safe: calls with this key are then
+// sent to this agent.
 func (c *claimStore) release(ctx context.Context, k ledger.Key, revision int64) {
 	_, _ = c.store.Delete(ctx, claimKey(k), revision)
 }
 
-// leaseCheckInterval is how often the lease of the next claims is looked after.
+// leaseCheckInterval is the interval at which maintainLease checks the lease.
 const leaseCheckInterval = time.Second
 
-// maintainLease holds a lease ready. A grant whose answer is lost can't be read
-// back, as its id is the service's; so a claim must not depend on one that is
-// asked for on a call's way.
+// maintainLease keeps a lease ready for new claims. The service assigns the lease id,
+// so a grant whose response is lost cannot be read back; granting in advance keeps
+// calls independent of that.
 func (c *claimStore) maintainLease(ctx context.Context) {
 	ticker := time.NewTicker(leaseCheckInterval)
 	defer ticker.Stop()
 	for {
 		if lease, age := c.leaseAndAge(); lease == "" || age > c.ttl/leasesPerTTL/2 {
-			// Where it fails, the lease there is serves until its time is over.
+			// On failure the current lease remains in use until it is too old.
 			_ = c.grantLease(ctx)
 		}
 		select {
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -6,7 +6,8 @@
 	"acaciakeel/admission"
 )
 
-// estimateCost works out what the engine would have to compute for j now.
+// estimateCost updates the number of tokens that the engine would have to compute for j
+// now.
 func (r *runner) estimateCost(j *job, now time.Time) {
 	j.cachedTokens = tokensAt(j.req.BoundaryTokens, r.cache.deepestCached(j.req.Root, j.req.BoundaryHash, now))
 	j.uncachedTokens = max(1, int(j.req.PromptTokens)-j.cachedTokens)
@@ -20,9 +21,9 @@
 	return int(tokens[i])
 }
 
-// expectedWait is how long a new request would expectedWait for its prefill to begin behind a
-// line: for the prefill that the engine has, what is reserved, the line, and
-// a slot to come free.
+// expectedWait returns how long a new request would wait for its prefill to begin
+// behind the backlog: for the prefills at the engine, the reservations and the backlog,
+// and for a free slot.
 func (r *runner) expectedWait(backlog admission.Backlog, now time.Time) time.Duration {
 	prefill := r.estimator.prefillTime(r.prefillTokens) + r.reservations.Cost(now) + backlog.Cost
 	over := r.running + backlog.Count - r.settings.Queue.Slots
@@ -33,7 +34,8 @@
 	return max(prefill, slot)
 }
 
-// dispatch gives the engine as much as it should have.
+// dispatch sends queued requests to the engine until its slots or its prefill limit are
+// full.
 func (r *runner) dispatch(now time.Time) {
 	r.expireQueued(now)
 	for r.running < r.settings.Queue.Slots && r.state.up {
@@ -45,12 +47,12 @@
 	}
 }
 
-// maxOvertakeTime is how long a request may be passed by shorter ones.
+// maxOvertakeTime is how long shorter requests may overtake a waiting one.
 const maxOvertakeTime = 100 * time.Millisecond
 
-// dispatchDecision keeps a request waiting while the engine has enough prefill ahead,
-// or while it computes a prefix of this very request: given both at once, the
-// engine would compute the shared tokens twice.
+// dispatchDecision holds a request back while the engine has enough prefill work, or
+// while it computes a prefix of the same prompt: if both ran at once, the engine would
+// compute the shared tokens twice.
 func (r *runner) dispatchDecision(item *admission.Item, now time.Time) admission.DispatchDecision {
 	j := r.jobs[item.ID]
 	r.estimateCost(j, now)
--- a/agent/endpoints.go
+++ b/agent/endpoints.go
@@ -12,7 +12,7 @@
 	"acaciakeel/refusal"
 )
 
-// endpoints are the agent's unary operations, apart from how they travel.
+// endpoints are the agent's unary operations, independent of the transport.
 type endpoints struct {
 	ask     endpoint.Endpoint
 	call    endpoint.Endpoint
@@ -27,7 +27,7 @@
 	}
 }
 
-// countRefusals counts the refusals in answers to calls.
+// countRefusals counts the refusals in responses to calls.
 func (a *Agent) countRefusals(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		response, err := next(ctx, request)
--- a/agent/feed.go
+++ b/agent/feed.go
@@ -13,10 +13,10 @@
 	"acaciakeel/target"
 )
 
-// maxResumes bounds how often one stream of an engine is opened again.
+// maxResumes is the maximum number of times that one engine stream is resumed.
 const maxResumes = 5
 
-// runJob gives a job to the engine and fills its buffer until the end.
+// runJob sends a job to the engine and fills the job's buffer until the stream ends.
 func (r *runner) runJob(j *job) {
 	s, err := r.engine.Start(j.ctx, j.completion())
 	if err != nil {
@@ -26,8 +26,9 @@
 	r.bufferStream(j, s)
 }
 
-// startRefusal tells a request that the engine never had from one that it may
-// have begun.
+// startRefusal returns the refusal for a request that the engine failed to start. Its
+// outcome is "not run" only if the request was not sent or the engine answered that it
+// takes no requests; otherwise the engine may have started it.
 func startRefusal(err error) *refusal.Error {
 	e := refusal.New(refusal.TargetFailed, "another runner takes the request", "the engine did not take it: %v", err)
 	if !errors.Is(err, target.ErrNotSent) && !errors.Is(err, target.ErrAway) {
@@ -36,9 +37,9 @@
 	return e
 }
 
-// bufferStream reads the engine's stream into the job's buffer. A stream that breaks
-// or goes silent is resumed at its offset on a new connection, as long as the
-// engine still knows it.
+// bufferStream copies the engine's stream into the job's buffer. A stream that breaks
+// or goes silent is resumed at its offset on a new connection, as long as the engine
+// still has it.
 func (r *runner) bufferStream(j *job, s *target.Stream) {
 	resumes := 0
 	for {
@@ -74,9 +75,9 @@
 
 var errSilent = errors.New("the engine's stream went silent")
 
-// readChunks takes chunks until the stream's end. The watchdog closes a connection
-// that has gone silent: something on the way may have lost track of it, and
-// reading on would wait for ever.
+// readChunks reads chunks until the stream ends. A watchdog closes a connection that
+// has gone silent: a network device on the path may have dropped its state, and a read
+// would then block forever.
 func (r *runner) readChunks(j *job, s *target.Stream) (stream.Finish, error) {
 	silence := settings.Millis(r.settings.Stream.EngineSilenceMS)
 	watchdog := time.AfterFunc(r.firstChunkTimeout(j), s.Close)
@@ -112,8 +113,8 @@
 	return err
 }
 
-// firstChunkTimeout is how long the first chunk may take: silence on top of several
-// times the expected prefill.
+// firstChunkTimeout returns the time limit for the next chunk: the silence limit, plus
+// four times the expected prefill time if the prompt is still being computed.
 func (r *runner) firstChunkTimeout(j *job) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,13 +135,13 @@
 	return f
 }
 
-// cancelTimeout bounds telling the engine that a request was given up.
+// cancelTimeout bounds the cancellation of a request at the engine.
 const cancelTimeout = time.Second
 
 func (r *runner) cancelAtEngine(j *job) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	// A failure leaves the request to the engine's own limit for streams
-	// without a reader.
+	// If this fails, the engine's own limit for streams without a reader ends the
+	// request.
 	_ = r.engine.Cancel(ctx, j.id)
 }
--- a/agent/generate.go
+++ b/agent/generate.go
@@ -14,8 +14,8 @@
 	"acaciakeel/target"
 )
 
-// Generate implements AgentServiceHandler: it runs a model request, or
-// attaches to one that is known, and sends its events from an offset.
+// Generate implements AgentServiceHandler. It runs a model request, or attaches to one
+// that exists, and sends its events from the requested offset.
 func (a *Agent) Generate(ctx context.Context, req *connect.Request[keelv1.GenerateRequest], out *connect.ServerStream[keelv1.GenerateResponse]) error {
 	a.follower.Hint(int64(req.Msg.ConfigRevision))
 	if a.runner == nil {
@@ -50,9 +50,8 @@
 	}
 }
 
-// sendEvents sends a job's events from offset on, and a heartbeat whenever
-// there was none for a while, so that the entry can tell an idle stream from
-// a connection that has gone silent.
+// sendEvents sends a job's events from offset on. On an idle stream it sends
+// heartbeats, so that the entry can tell an idle stream from a dead connection.
 func (a *Agent) sendEvents(ctx context.Context, j *job, offset int, out *connect.ServerStream[keelv1.GenerateResponse]) error {
 	a.runner.attach(j)
 	defer func() { a.runner.detach(j, time.Now()) }()
@@ -114,9 +113,9 @@
 	return e
 }
 
-// findOrAdopt returns the job that an entry wants to go on reading. An agent that
-// was restarted has no such job, but its engine may still run it: then the
-// stream is taken over from the engine at the entry's offset.
+// findOrAdopt returns the job whose stream an entry resumes. An agent that has
+// restarted does not know the job, but the engine may still run it: the agent then
+// resumes the engine's stream at the entry's offset.
 func (r *runner) findOrAdopt(ctx context.Context, req *keelv1.GenerateRequest) (*job, *refusal.Error) {
 	id := jobID(req.Customer, req.RequestId, req.Attempt)
 	r.mu.Lock()
@@ -144,7 +143,8 @@
 	return streamBrokenRefusal(err)
 }
 
-// adoptStream registers a job whose engine stream is already running.
+// adoptStream registers a job for an engine stream that is already running. If the job
+// was registered in the meantime, it closes the stream and returns that job.
 func (r *runner) adoptStream(req *keelv1.GenerateRequest, s *target.Stream) *job {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,7 +157,8 @@
 	j := newJob(req, int(req.Offset), now)
 	j.phase = decoding
 	j.dispatchedAt = now
-	// Nothing is claimed of this request's blocks: its boot is not known here.
+	// The boot on which the engine started this request is unknown, so its blocks are
+	// not counted as cached.
 	j.bootID = ""
 	r.running++
 	r.jobs[id] = j
--- a/agent/job.go
+++ b/agent/job.go
@@ -12,7 +12,7 @@
 	"acaciakeel/target"
 )
 
-// phase is how far a job has come.
+// phase is the progress of a job.
 type phase int
 
 const (
@@ -31,10 +31,10 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	// The rest is guarded by the runner's mutex.
+	// The following fields are guarded by the runner's mutex.
 	phase phase
-	// cachedTokens is the tokens that the agent believed to be cached when the job
-	// was given to the engine; missing is the rest.
+	// cachedTokens is the number of prompt tokens expected to be cached at the last
+	// estimate, which is made at dispatch; uncachedTokens is the rest, at least 1.
 	cachedTokens   int
 	uncachedTokens int
 	bootID         string
@@ -44,9 +44,9 @@
 	endedAt        time.Time
 }
 
-// jobID names an attempt, here and at the engine. The customer is part of it,
-// so that nobody reaches another's stream with the id of one of its events,
-// even through an agent that was restarted and knows only what its engine has.
+// jobID identifies an attempt, both here and at the engine. It includes the customer,
+// so that no customer can read another's stream with a request id, even through an
+// agent that has restarted and knows only the requests at its engine.
 func jobID(customer, requestID string, attempt uint32) string {
 	return fmt.Sprintf("%s.%d.%016x", requestID, attempt, prefix.NameHash(customer))
 }
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -6,7 +6,7 @@
 	"acaciakeel/telemetry"
 )
 
-// metrics of an agent. Their names are listed in docs/operating/metrics.md.
+// metrics are the Prometheus metrics of an agent. docs/operating/metrics.md lists their names.
 type metrics struct {
 	refusals      *prometheus.CounterVec
 	asks          prometheus.Counter
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -14,34 +14,33 @@
 	"acaciakeel/store"
 )
 
-// Platform keys of orders.
+// Key prefixes in the platform's store.
 const (
 	slotPrefix  = "acaciakeel/load-slots/"
 	orderPrefix = "acaciakeel/orders/"
 )
 
-// Times of orders.
 const (
 	orderInterval = 200 * time.Millisecond
-	// slotRetryInterval is the mean time between two tries for a load slot.
+	// slotRetryInterval is the interval between attempts to acquire a load slot.
 	slotRetryInterval = 500 * time.Millisecond
-	// slotTTL outlasts the draining and the longest order.
+	// slotTTL is longer than draining and the longest order take.
 	slotTTL = 2 * order.OrderTimeout
-	// maxRecordAge is how old the own record of an order may be when the order
-	// is sent: a process paused between the two must not send it.
+	// maxRecordAge is the maximum age of the agent's order record when the order is
+	// sent: a process that was paused after writing the record must not send it.
 	maxRecordAge = 2 * time.Second
 )
 
-// orderRecord is the platform's account of the order to one engine. Its revision
-// is the fencing number.
+// orderRecord is the stored record of the order to one engine. Its revision is the
+// fencing number.
 type orderRecord struct {
 	Incarnation    string `json:"incarnation"`
 	WeightsVersion string `json:"weights_version"`
 	Done           bool   `json:"done"`
 }
 
-// orderController brings one engine to the weights that its model should have. It is
-// owned by its goroutine.
+// orderController makes one engine load the weights that its model should have. It is
+// used by one goroutine only.
 type orderController struct {
 	agent             *Agent
 	store             store.Store
@@ -49,8 +48,8 @@
 	lease             store.LeaseID
 	nextSlotTry       time.Time
 	platformDownSince time.Time
-	// foreignOrderSince is when another holder's unfinished order was first seen,
-	// at revision othersAt.
+	// foreignOrderSince is when another holder's unfinished order was first seen.
+	// lastRevision is the revision of that order, or of the agent's own last write.
 	foreignOrderSince time.Time
 	lastRevision      int64
 }
@@ -97,8 +96,8 @@
 	}
 }
 
-// desired returns the weights that the engine should have, the target's rank
-// among those of its model, and how many of them may load at once.
+// desired returns the weights that the engine should have, the target's rank among the
+// targets of its model, and how many of these may load at the same time.
 func (o *orderController) desired() (weights string, rank, loads int) {
 	snapshot := o.agent.follower.State().Snapshot
 	name := o.agent.settings.Target.Name
@@ -109,8 +108,9 @@
 	return spec.WeightsVersion, rank, order.ConcurrentLoads(spec.MinRunners, len(targets))
 }
 
-// acquireSlot tries each of the first load slots once in a while. Slots hang on
-// leases, so that those of a dead agent come free.
+// acquireSlot tries to acquire one of the load slots, at most once per
+// slotRetryInterval. Slots are bound to leases, so that those of a dead agent are
+// released.
 func (o *orderController) acquireSlot(ctx context.Context, loads int) {
 	if time.Now().Before(o.nextSlotTry) {
 		return
@@ -139,14 +139,16 @@
 func (o *orderController) tryAcquireSlot(ctx context.Context, key string, lease store.LeaseID) bool {
 	_, err := o.store.Put(ctx, key, []byte(o.agent.incarnation), 0, lease)
 	if err != nil {
-		// A slot written by a lost answer comes free with its lease.
+		// If the write took effect but its response was lost, the slot is released with
+		// its lease.
 		return false
 	}
 	o.slot, o.lease = key, lease
 	return true
 }
 
-// trackPlatform notes whether the platform's service answers.
+// trackPlatform records since when the platform's service has been unreachable, and
+// reports whether it was reached.
 func (o *orderController) trackPlatform(err error) bool {
 	if err == nil {
 		o.platformDownSince = time.Time{}
@@ -169,10 +171,10 @@
 	o.slot = ""
 }
 
-// load takes ownership of the engine and sends the order. The record's
-// revision fences off older holders where the engine checks it. Where it does
-// not, the agent is the guard: it waits out another holder's unfinished
-// order, and sends its own only while its record is fresh.
+// load records the order and sends it to the engine. If the engine checks the fencing
+// number, the record's revision fences off older holders. Otherwise the agent waits
+// until another holder's unfinished order has timed out, and sends its own order only
+// while its record is fresh.
 func (o *orderController) load(ctx context.Context, desired string) {
 	fence, recordedAt, ok := o.writeRecord(ctx, desired)
 	if !ok {
@@ -191,14 +193,14 @@
 	o.agent.metrics.orders.WithLabelValues(result).Inc()
 	o.agent.log.WithError(err).WithFields(logrus.Fields{
 		"event": "order", "weights_version": desired, "fence": fence, "result": result,
-	}).Info("weights ordered")
+	}).Info("order to load weights sent")
 	if err == nil {
 		o.markDone(ctx, fence, desired)
 	}
 }
 
-// writeRecord writes the record of this order and returns its revision, and when the
-// write began by the writeRecord monotonic clock.
+// writeRecord writes the record of this order and returns its revision and the time, by
+// the local monotonic clock, at which the write began.
 func (o *orderController) writeRecord(ctx context.Context, desired string) (fence int64, began time.Time, ok bool) {
 	key := orderPrefix + o.agent.settings.Target.Name
 	entry, err := o.store.Get(ctx, key)
@@ -207,8 +209,8 @@
 	}
 	if err != nil {
 		o.trackPlatform(err)
-		// Without the service the last known fence is used: an engine that
-		// checks refuses it if somebody else has ordered since.
+		// While the service is down, the last known revision is used: an engine that
+		// checks fencing numbers refuses it if another agent has sent an order since.
 		return o.lastRevision, time.Now(), !o.platformDownSince.IsZero() && time.Since(o.platformDownSince) > order.PlatformGracePeriod
 	}
 	if o.mustAwaitForeignOrder(entry) {
@@ -225,7 +227,7 @@
 }
 
 // mustAwaitForeignOrder reports whether another holder's order may still reach an
-// engine that would take it.
+// engine that does not check fencing numbers.
 func (o *orderController) mustAwaitForeignOrder(entry store.Entry) bool {
 	var have orderRecord
 	if entry.Revision == 0 || json.Unmarshal(entry.Value, &have) != nil {
@@ -241,7 +243,8 @@
 	return time.Since(o.foreignOrderSince) < order.OrderTimeout
 }
 
-// markDone marks the order as done, so that nobody waits it out.
+// markDone marks the order as done, so that other agents need not wait for it to time
+// out.
 func (o *orderController) markDone(ctx context.Context, fence int64, desired string) {
 	value, err := json.Marshal(orderRecord{Incarnation: o.agent.incarnation, WeightsVersion: desired, Done: true})
 	if err != nil {
--- a/agent/pace.go
+++ b/agent/pace.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// rateEstimator measures the engine's prefill rate: tokens over the time in which at
-// least one request was prefilling.
+// rateEstimator estimates the engine's prefill rate: computed tokens divided by the
+// time in which at least one request was prefilling.
 type rateEstimator struct {
 	rate           float64
 	hasSample      bool
@@ -13,8 +13,9 @@
 	elapsed        time.Duration
 }
 
-// Weights of the measurement. Over short windows the rates of equal runners
-// differ by a fifth, and the difference would pull prefixes off their runners.
+// Parameters of the moving average. Over short windows the rates of equal runners
+// differ by a fifth, and routing on that difference would move prefixes away from the
+// runners that have them cached.
 const (
 	rateWindow = time.Second
 	rateWeight = 0.2
@@ -25,8 +26,8 @@
 	p.activePrefills++
 }
 
-// end counts one prefill of tokens that ended; whole is false for one that
-// was given up, whose tokens are not known.
+// end records the end of one prefill. completed is false for a prefill that was
+// abandoned: the number of tokens computed is then unknown and not counted.
 func (p *rateEstimator) end(tokens int, completed bool, now time.Time) {
 	p.accrue(now)
 	p.activePrefills--
@@ -51,7 +52,7 @@
 	p.updatedAt = now
 }
 
-// measuredRate returns the rate, or 0 while none was measuredRate.
+// measuredRate returns the rate, or 0 before the first measurement.
 func (p *rateEstimator) measuredRate() float64 {
 	if !p.hasSample {
 		return 0
@@ -59,7 +60,7 @@
 	return p.rate
 }
 
-// prefillTime returns the time that tokens take.
+// prefillTime returns the expected time to compute the given number of tokens.
 func (p *rateEstimator) prefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / p.rate * float64(time.Second))
 }
--- a/agent/permit.go
+++ b/agent/permit.go
@@ -9,13 +9,13 @@
 	"acaciakeel/refusal"
 )
 
-// permit decides whether the call may be sent: by a claim, whose revision it
-// returns, or without one where the key provably can't have run before.
-// docs/design/calls-once.md says why each case holds.
+// permit decides whether a call may be sent: with a claim, whose revision it returns,
+// or without one if the key provably cannot have run before. docs/design/calls-once.md
+// gives the reason for each case.
 func (c *callExecutor) permit(ctx context.Context, req *keelv1.CallRequest, key ledger.Key, record *ledger.Record) (int64, claim, *refusal.Error) {
 	if req.FreshKey {
-		// No caller has this key, and its entry sends again only after a
-		// truthful "not run".
+		// The entry generated this key and no client has it. The entry sends the call
+		// again only after a refusal with the outcome "not run".
 		c.setGeneratedKey(record)
 		return 0, claim{}, nil
 	}
@@ -60,9 +60,10 @@
 	return r.WithRetryAfter(time.Second)
 }
 
-// platformDownRefusal refuses a call that can't be claimed. It says "not run" only
-// at the key's home, and only while no earlier process of it can have run the
-// call within the time in which callers repeat themselves.
+// platformDownRefusal returns the refusal for a call that cannot be claimed. Its
+// outcome is "not run" only at the key's home, and only if this process has been the
+// home for longer than clientRetryWindow, so that no earlier process can have run the
+// call that the client now repeats.
 func (c *callExecutor) platformDownRefusal(home bool, since time.Time) *refusal.Error {
 	r := refusal.New(refusal.PlatformDown,
 		"come back after the time in Retry-After with the same key, or use UUIDv7 keys, which are served during an outage",
@@ -73,10 +74,10 @@
 	return r
 }
 
-// clientRetryWindow is how long callers may take to repeat a call.
+// clientRetryWindow is the time within which clients may repeat a call.
 const clientRetryWindow = 5 * time.Minute
 
-// platformRetryAfter is when to come back while the platform's service is down.
+// platformRetryAfter is the Retry-After time while the platform's service is down.
 const platformRetryAfter = 2 * time.Second
 
 func (c *callExecutor) setClaimed(record *ledger.Record, claimed bool) {
--- a/agent/runner.go
+++ b/agent/runner.go
@@ -12,7 +12,7 @@
 	"acaciakeel/target"
 )
 
-// engineState is what the agent's control goroutine knows of the engine.
+// engineState is the state of the engine as of its last load report.
 type engineState struct {
 	up             bool
 	bootID         string
@@ -20,8 +20,8 @@
 	loading        bool
 }
 
-// runner decides when each model request goes to the engine and keeps its
-// stream. Its mutex guards everything but settings and clients.
+// runner decides when each model request is sent to the engine and keeps its stream. mu
+// guards the fields after it.
 type runner struct {
 	settings Settings
 	engine   *target.Engine
@@ -37,13 +37,14 @@
 	estimator    rateEstimator
 	jobs         map[string]*job
 	startedAt    time.Time
-	// eventDeadline is when the events of a computed prompt must have come; zero
-	// while none are owed.
+	// eventDeadline is when the cache events of a computed prompt are due; it is zero
+	// while none are expected.
 	eventDeadline time.Time
-	// running and prefillTokens are what the engine was given.
+	// running is the number of requests at the engine, and prefillTokens the prompt
+	// tokens that the engine has yet to compute.
 	running       int
 	prefillTokens int
-	// meanSlotTime is the mean time that a request keeps its slot after its first token.
+	// meanSlotTime is the mean time that a request occupies an engine slot.
 	meanSlotTime time.Duration
 }
 
@@ -61,7 +62,8 @@
 	}
 }
 
-// checkReady reports whether a request for weights can be taken now.
+// checkReady returns a refusal if the engine cannot take a request for the given
+// weights now.
 func (r *runner) checkReady(weightsVersion string) *refusal.Error {
 	switch {
 	case r.stopping:
@@ -77,9 +79,9 @@
 	return nil
 }
 
-// submit takes a new request into the queue, or returns the job that it is
-// already. A refusal is final and says "not run" truthfully: the request was
-// never given to the engine.
+// submit queues a new request and returns its job, or the existing job of the same
+// attempt. A refusal is final: the request was never sent to the engine, so the outcome
+// "not run" is correct.
 func (r *runner) submit(req *keelv1.GenerateRequest, now time.Time) (*job, *refusal.Error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,7 +118,8 @@
 	return refusal.New(refusal.QueueFull, remedy, "the target's queue is full").WithRetryAfter(after)
 }
 
-// minEventTokens is how many computed tokens surely make a cache event: several blocks.
+// minEventTokens is the number of computed tokens above which a cache event is certain:
+// it covers several blocks.
 const minEventTokens = 256
 
 // firstToken records that the engine has computed j's prompt.
@@ -138,7 +141,7 @@
 	r.dispatch(now)
 }
 
-// touchBlocks tells the view which blocks a request has used.
+// touchBlocks marks the blocks of a request as just used in the cache view.
 func (r *runner) touchBlocks(j *job, now time.Time) {
 	r.cache.view.SetNow(r.viewTime(now))
 	if n := len(j.item.PrefixHashes); n > 0 {
@@ -146,7 +149,8 @@
 	}
 }
 
-// viewTime returns the milliseconds since the agent began.
+// viewTime returns the time for the cache view: milliseconds since the agent started,
+// plus one.
 func (r *runner) viewTime(now time.Time) uint32 {
 	return uint32(now.Sub(r.startedAt).Milliseconds()) + 1
 }
@@ -158,7 +162,7 @@
 	addCounts(r.cache.pending, j.item.PrefixHashes, -1)
 }
 
-// finishAndDispatch ends a job that the engine had.
+// finishAndDispatch ends a job that was sent to the engine.
 func (r *runner) finishAndDispatch(j *job, f stream.Finish, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,7 +170,8 @@
 	r.dispatch(now)
 }
 
-// slotTimeWeight is the weight of one request in the mean time of a slot.
+// slotTimeWeight is the weight of one request in meanSlotTime, an exponential moving
+// average.
 const slotTimeWeight = 0.1
 
 func (r *runner) finishLocked(j *job, f stream.Finish, now time.Time) {
@@ -193,7 +198,8 @@
 	r.recordClaimAccuracy(j, f)
 }
 
-// recordClaimAccuracy compares what was believed cached with what the engine used.
+// recordClaimAccuracy compares the tokens that the agent expected to be cached with
+// those that the engine reused.
 func (r *runner) recordClaimAccuracy(j *job, f stream.Finish) {
 	if f.Err != nil || f.PromptTokens == 0 {
 		return
@@ -206,8 +212,8 @@
 	r.metrics.claimedTokens.WithLabelValues("under").Add(float64(under))
 }
 
-// confirmCached tells the view that the engine has just used a prompt's first
-// tokens, so that they are claimed again after a gap in its events.
+// confirmCached tells the view that the engine has just reused the first tokens of a
+// prompt, so that their blocks count as cached again after a gap in the events.
 func (r *runner) confirmCached(j *job, cached int) {
 	if j.bootID != r.cache.view.BootID() {
 		return
@@ -220,20 +226,20 @@
 	}
 }
 
-// claimTolerance is the part of a claim that no engine can use: the prompt's last
-// block is computed again for its first token.
+// claimTolerance is the part of the cached tokens that no engine can reuse: the
+// prompt's last block is computed again to produce the first token.
 func (Settings) claimTolerance() int {
 	return 16
 }
 
-// expireQueued refuses the waiting requests whose caller has stopped waiting.
+// expireQueued refuses the queued requests whose deadline has passed.
 func (r *runner) expireQueued(now time.Time) {
 	for _, item := range r.queue.RemoveExpired(now) {
 		r.finishLocked(r.jobs[item.ID], stream.Finish{Err: queueRefusal(admission.DeadlineUnmet, r.queue.Cost())}, now)
 	}
 }
 
-// abandon ends a job that its entry gave up.
+// abandon ends a job that its entry has given up.
 func (r *runner) abandon(id string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -246,8 +252,9 @@
 	r.dispatch(now)
 }
 
-// setEngineState takes the control goroutine's news of the engine. A new boot, or
-// an engine that is away, ends all belief about its cache at once.
+// setEngineState records the engine's state from a load report. It resets the knowledge
+// of the engine's cache when the engine is on a new boot or is up again after it was
+// down.
 func (r *runner) setEngineState(s engineState, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -259,7 +266,7 @@
 	r.dispatch(now)
 }
 
-// sweep forgets old jobs and ends those that nobody reads.
+// sweep deletes ended jobs after the retention period and ends jobs without a reader.
 func (r *runner) sweep(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -291,7 +298,7 @@
 	j.unreadSince = now
 }
 
-// active returns how many jobs have not ended or are still being read.
+// active returns the number of jobs that have not ended or are still being read.
 func (r *runner) active() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -316,14 +323,16 @@
 	return r.state.up
 }
 
-// setDraining stops or takes up again the taking of new requests, for an order.
+// setDraining stops or resumes the acceptance of new requests, for an order to load
+// weights.
 func (r *runner) setDraining(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.draining = on
 }
 
-// engineStateAndIdle returns the engine's state, and whether nothing waits or runs.
+// engineStateAndIdle returns the engine's state and whether no request is queued or
+// running.
 func (r *runner) engineStateAndIdle() (engineState, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/agent/settings.go
+++ b/agent/settings.go
@@ -1,6 +1,6 @@
-// Package agent is the process beside one target. It knows everything that is
-// known of that target: its cache, its load, the queue before it, the calls
-// that may not be repeated, and the streams that run.
+// Package agent is the process that runs beside one target. It holds the state of that
+// target: the cache view, the load, the request queue, the ledger of calls that must
+// not be repeated, and the running streams.
 package agent
 
 import (
@@ -12,16 +12,14 @@
 	"acaciakeel/settings"
 )
 
-// Kind is the kind of target that an agent stands beside.
+// Kind is the kind of an agent's target.
 type Kind string
 
-// The kinds of target.
 const (
 	KindEngine  Kind = "engine"
 	KindService Kind = "service"
 )
 
-// Settings of an agent.
 type Settings struct {
 	Self     settings.Self     `toml:"self"`
 	Platform settings.Platform `toml:"platform"`
@@ -30,7 +28,8 @@
 	Queue    QueueSettings     `toml:"queue"`
 	Ledger   LedgerSettings    `toml:"ledger"`
 	Stream   StreamSettings    `toml:"stream"`
-	// StopLimitMS is how long a planned stop waits for what runs. Default 60000.
+	// StopLimitMS is how long a planned stop waits for running work, in milliseconds.
+	// Default 60000.
 	StopLimitMS float64 `toml:"stop_limit_ms"`
 }
 
@@ -40,56 +39,66 @@
 	Name string `toml:"name"`
 	// Kind is engine or service.
 	Kind Kind `toml:"kind"`
-	// URL is where the target serves.
+	// URL is the base URL of the target.
 	URL string `toml:"url"`
-	// Oracle lets entries ask a stand-in engine for its true state. Measurements only.
+	// Oracle lets entries query a stand-in engine for its true state. For benchmarks
+	// only.
 	Oracle bool `toml:"oracle"`
 }
 
-// QueueSettings bound what waits for the target.
+// QueueSettings limit the requests that wait for the target.
 type QueueSettings struct {
-	// Length is the most requests that wait. Default 256.
+	// Length is the maximum number of waiting requests. Default 256.
 	Length int `toml:"length"`
-	// WaitMS is the longest expected wait taken on, in milliseconds. Default 500.
+	// WaitMS is the longest expected wait with which a request is accepted, in
+	// milliseconds. Default 500.
 	WaitMS float64 `toml:"wait_ms"`
-	// Slots is how many requests the target runs at once. Default 16.
+	// Slots is the number of requests that the target runs at the same time. Default
+	// 16.
 	Slots int `toml:"slots"`
-	// PrefillTokens is how many prompt tokens are given to an engine ahead of
-	// its work; the rest waits here, where it stays in fair order. Default 6000.
+	// PrefillTokens is the maximum number of prompt tokens sent to an engine ahead of
+	// its work. Further requests wait in the agent's queue, which keeps them in fair
+	// order. Default 6000.
 	PrefillTokens int `toml:"prefill_tokens"`
-	// PrefillRate is the prefill rate assumed until it is measured, tokens a second. Default 20000.
+	// PrefillRate is the prefill rate assumed until it has been measured, in tokens per
+	// second. Default 20000.
 	PrefillRate float64 `toml:"prefill_rate"`
-	// ReservationMS is how long the answer to a question reserves time: about as long as the request takes to follow. Default 3.
+	// ReservationMS is how long the answer to a query reserves engine time, in
+	// milliseconds: about the time until the request arrives. Default 3.
 	ReservationMS float64 `toml:"reservation_ms"`
 }
 
-// LedgerSettings bound the record of calls that may not be repeated.
+// LedgerSettings limit the ledger of calls that must not be repeated.
 type LedgerSettings struct {
-	// Records and Bytes bound the ledger's memory. Defaults 20000 and 33554432.
+	// Records and Bytes limit the ledger's memory: the number of calls and the bytes of
+	// their answers. Defaults 20000 and 33554432.
 	Records int `toml:"records"`
 	Bytes   int `toml:"bytes"`
 	// RetentionS is how long a finished call is kept, in seconds. Default 900.
 	RetentionS float64 `toml:"retention_s"`
 	// ClaimTTLS is how long a claim stays in the platform's service, in seconds. Default 86400.
 	ClaimTTLS float64 `toml:"claim_ttl_s"`
-	// ClockMarginMS bounds the difference of two machines' clocks. Default 2000.
+	// ClockMarginMS is the maximum difference between the clocks of two VMs, in
+	// milliseconds. Default 2000.
 	ClockMarginMS float64 `toml:"clock_margin_ms"`
 }
 
-// StreamSettings are the times of streams.
+// StreamSettings are the timeouts of streams.
 type StreamSettings struct {
-	// HeartbeatMS is the pause between heartbeats on an idle stream. Default 300.
+	// HeartbeatMS is the interval between heartbeats on an idle stream, in
+	// milliseconds. Default 300.
 	HeartbeatMS float64 `toml:"heartbeat_ms"`
-	// EngineSilenceMS is the longest pause of a decoding engine that is
-	// believed; then the stream is resumed on a new connection. Default 2000.
+	// EngineSilenceMS is the longest accepted pause of a decoding engine, in
+	// milliseconds; after it the stream is resumed on a new connection. Default 2000.
 	EngineSilenceMS float64 `toml:"engine_silence_ms"`
-	// OrphanMS is how long a request runs on without a reader. Default 3000.
+	// OrphanMS is how long a request without a reader continues, in milliseconds.
+	// Default 3000.
 	OrphanMS float64 `toml:"orphan_ms"`
-	// KeptMS is how long a finished stream can still be read. Default 10000.
+	// KeptMS is how long a finished stream can still be read, in milliseconds. Default
+	// 10000.
 	KeptMS float64 `toml:"kept_ms"`
 }
 
-// DefaultSettings returns the defaults.
 func DefaultSettings() Settings {
 	return Settings{
 		Target: TargetSettings{Kind: KindEngine},
@@ -152,8 +161,8 @@
 	return admission.Limits{MaxLength: q.Length, MaxWait: settings.Millis(q.WaitMS)}
 }
 
-// tombstoneTTL is how long an abandoned attempt is remembered: no copy of a
-// message stays in a connection for longer.
+// tombstoneTTL is how long an abandoned attempt is remembered: longer than any copy of
+// a message can remain in a connection.
 const tombstoneTTL = 10 * time.Minute
 
 func (l LedgerSettings) limits() ledger.Limits {
--- a/agent/watch.go
+++ b/agent/watch.go
@@ -7,23 +7,24 @@
 	"acaciakeel/cache"
 )
 
-// Times of watching an engine.
 const (
 	loadInterval = 100 * time.Millisecond
 	loadTimeout  = 400 * time.Millisecond
-	// maxLoadFailures is how many failed load reports in a row make an engine away.
+	// maxLoadFailures is the number of consecutive failed load reports after which the
+	// engine counts as down.
 	maxLoadFailures = 2
-	// eventRetryDelay is the pause before the event stream is opened again.
+	// eventRetryDelay is the delay before the event stream is opened again.
 	eventRetryDelay = 50 * time.Millisecond
-	// minResyncInterval is the least time between two dumps of the engine's cache.
+	// minResyncInterval is the minimum pause between two dumps of the engine's cache.
 	minResyncInterval = 200 * time.Millisecond
-	// resyncPauseFactor bounds the time spent on dumps: after one that took t, the
-	// next waits for t * resyncPauseFactor.
+	// resyncPauseFactor limits the share of time spent on dumps: after a dump that took
+	// t, the next waits for at least t * resyncPauseFactor.
 	resyncPauseFactor = 50
 	dumpTimeout       = 2 * time.Second
 )
 
-// watchLoad follows the engine's load report: which boot, which weights, or away.
+// watchLoad polls the engine's load report for its boot, its weights and whether it is
+// up, and sweeps the jobs.
 func (r *runner) watchLoad(ctx context.Context) {
 	failures := 0
 	ticker := time.NewTicker(loadInterval)
@@ -54,7 +55,8 @@
 	return failures
 }
 
-// watchCache follows the engine's cache events, from a dump on.
+// watchCache keeps the cache view up to date: it takes a dump of the engine's cache and
+// then follows its events.
 func (r *runner) watchCache(ctx context.Context) {
 	for ctx.Err() == nil {
 		if r.resyncCache(ctx) == nil {
@@ -85,14 +87,14 @@
 	return nil
 }
 
-// eventTimeout is how long events may stay away after the engine has computed
-// a prompt. A stream that has gone silent for good ends without an error; the
-// view would then grow old unnoticed.
+// eventTimeout is the maximum delay of cache events after the engine has computed a
+// prompt. A dead event stream ends without an error, and the view would become stale
+// unnoticed.
 const eventTimeout = 2 * time.Second
 
-// followEvents applies events until their connection ends, goes silent, or
-// the engine is on another boot. A gap asks for a dump, at a bounded rate,
-// beside the stream.
+// followEvents applies cache events until the connection ends, the events are overdue,
+// or the engine has restarted. After a gap it takes a dump, at a limited rate, while
+// the stream continues.
 func (r *runner) followEvents(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -116,7 +118,7 @@
 	}
 }
 
-// cancelStaleEvents ends an event stream that can't be believed any more.
+// cancelStaleEvents cancels the event stream once it is stale.
 func (r *runner) cancelStaleEvents(ctx context.Context, cancel context.CancelFunc) {
 	ticker := time.NewTicker(loadInterval)
 	defer ticker.Stop()
@@ -143,7 +145,8 @@
 	return !r.eventDeadline.IsZero() && now.After(r.eventDeadline)
 }
 
-// applyEvent reports whether the view is whole after the event.
+// applyEvent applies an event to the view and reports whether the view has no gaps
+// afterwards.
 func (r *runner) applyEvent(e cache.Event) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
