--- a/agent/call.go
+++ b/agent/call.go
@@ -266,7 +266,7 @@
 	keys := c.ledger.Unclaimed()
 	c.mu.Unlock()
 	for _, key := range keys {
-		result, _, _ := c.claims.acquire(ctx, key)
+		result, _, _ := c.claims.make(ctx, key)
 		if result == claimFailed {
 			return
 		}
--- a/agent/claim.go
+++ b/agent/claim.go
@@ -68,11 +68,11 @@
 	return claimPrefix + hex.EncodeToString(sum[:16])
 }
 
-// acquire claims a call and returns the claim's revision. A write whose response was
+// make claims a call and returns the claim's revision. A write whose response was
 // lost may have taken effect, so the claim is read back. A claim that this incarnation
 // already owns is written again: a release of it that is still in flight then finds a
 // different revision and has no effect.
-func (c *claimStore) acquire(ctx context.Context, k ledger.Key) (claimResult, claim, int64) {
+func (c *claimStore) make(ctx context.Context, k ledger.Key) (claimResult, claim, int64) {
 	revision := int64(0)
 	mine := c.self
 	mine.Nonce = uuid.NewString()
--- a/agent/permit.go
+++ b/agent/permit.go
@@ -30,7 +30,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	result, holder, revision := c.claims.acquire(ctx, key)
+	result, holder, revision := c.claims.make(ctx, key)
 	c.metrics.claimWrites.WithLabelValues(string(result)).Inc()
 	switch {
 	case result == claimOwned:
