--- a/agent/belief.go
+++ b/agent/cache_tracker.go
@@ -38,9 +38,9 @@
 }
 
 // resetOnBoot discards what depends on the engine's previous boot.
-func (b *cacheTracker) resetOnBoot() {
-	clear(b.pinned)
-	clear(b.recentlyEnded)
+func (t *cacheTracker) resetOnBoot() {
+	clear(t.pinned)
+	clear(t.recentlyEnded)
 }
 
 func addCounts(set map[uint64]int, hashes []uint64, by int) {
@@ -57,37 +57,37 @@
 const maxRecent = 4096
 
 // addRecent records the boundaries of a request that has ended.
-func (b *cacheTracker) addRecent(hashes []uint64, now time.Time) {
+func (t *cacheTracker) addRecent(hashes []uint64, now time.Time) {
 	for _, h := range hashes {
-		b.recentlyEnded[h] = now
+		t.recentlyEnded[h] = now
 	}
-	if len(b.recentlyEnded) <= maxRecent {
+	if len(t.recentlyEnded) <= maxRecent {
 		return
 	}
-	for h, at := range b.recentlyEnded {
+	for h, at := range t.recentlyEnded {
 		if now.Sub(at) > recentTTL {
-			delete(b.recentlyEnded, h)
+			delete(t.recentlyEnded, h)
 		}
 	}
 }
 
 // deepestCached returns the index of the deepest boundary that is cached now, or -1.
-func (b *cacheTracker) deepestCached(root uint64, hashes []uint64, now time.Time) int {
+func (t *cacheTracker) deepestCached(root uint64, hashes []uint64, now time.Time) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
-		if b.pinned[hashes[i]] > 0 || b.isRecent(hashes[i], now) || b.view.HasChain(root, hashes[i]) {
+		if t.pinned[hashes[i]] > 0 || t.isRecent(hashes[i], now) || t.view.HasChain(root, hashes[i]) {
 			return i
 		}
 	}
 	return -1
 }
 
-func (b *cacheTracker) isRecent(hash uint64, now time.Time) bool {
-	at, ok := b.recentlyEnded[hash]
+func (t *cacheTracker) isRecent(hash uint64, now time.Time) bool {
+	at, ok := t.recentlyEnded[hash]
 	if !ok {
 		return false
 	}
 	if now.Sub(at) > recentTTL {
-		delete(b.recentlyEnded, hash)
+		delete(t.recentlyEnded, hash)
 		return false
 	}
 	return true
@@ -95,20 +95,20 @@
 
 // deepestExpected returns the index of the deepest boundary that is cached now or will
 // be once the pending requests have run, or -1.
-func (b *cacheTracker) deepestExpected(root uint64, hashes []uint64, now time.Time) int {
+func (t *cacheTracker) deepestExpected(root uint64, hashes []uint64, now time.Time) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
-		if b.pending[hashes[i]] > 0 {
-			return max(i, b.deepestCached(root, hashes, now))
+		if t.pending[hashes[i]] > 0 {
+			return max(i, t.deepestCached(root, hashes, now))
 		}
 	}
-	return b.deepestCached(root, hashes, now)
+	return t.deepestCached(root, hashes, now)
 }
 
 // deepestPrefilling returns the index of the deepest boundary that is part of a prompt
 // being computed now, or -1.
-func (b *cacheTracker) deepestPrefilling(hashes []uint64) int {
+func (t *cacheTracker) deepestPrefilling(hashes []uint64) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
-		if b.prefilling[hashes[i]] > 0 {
+		if t.prefilling[hashes[i]] > 0 {
 			return i
 		}
 	}
--- a/agent/claim.go
+++ b/agent/claim.go
@@ -74,13 +74,13 @@
 // different revision and has no effect.
 func (c *claimStore) make(ctx context.Context, k ledger.Key) (claimResult, claim, int64) {
 	revision := int64(0)
-	mine := c.self
-	mine.Nonce = uuid.NewString()
+	own := c.self
+	own.Nonce = uuid.NewString()
 	for range maxClaimWrites {
-		next, err := c.put(ctx, k, mine, revision)
+		next, err := c.put(ctx, k, own, revision)
 		switch {
 		case err == nil:
-			return claimOwned, mine, next
+			return claimOwned, own, next
 		case errors.Is(err, store.ErrUnavailable), errors.Is(err, store.ErrNotFound):
 			return claimFailed, claim{}, 0
 		}
@@ -90,9 +90,9 @@
 			revision = 0
 		case err != nil:
 			return claimFailed, claim{}, 0
-		case found == mine:
-			return claimOwned, mine, foundRevision
-		case !found.sameOwner(mine):
+		case found == own:
+			return claimOwned, own, foundRevision
+		case !found.sameOwner(own):
 			return claimHeldElsewhere, found, 0
 		default:
 			revision = foundRevision
@@ -104,8 +104,8 @@
 // maxClaimWrites is the maximum number of writes for one claim.
 const maxClaimWrites = 3
 
-func (c *claimStore) put(ctx context.Context, k ledger.Key, mine claim, ifRevision int64) (int64, error) {
-	value, err := json.Marshal(mine)
+func (c *claimStore) put(ctx context.Context, k ledger.Key, own claim, ifRevision int64) (int64, error) {
+	value, err := json.Marshal(own)
 	if err != nil {
 		return 0, fmt.Errorf("encode claim: %w", err)
 	}
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -68,7 +68,7 @@
 }
 
 func (o *orderController) reconcile(ctx context.Context) {
-	desired, rank, loads := o.desired()
+	desired, rank, maxLoads := o.desired()
 	r := o.agent.runner
 	state, idle := r.engineStateAndIdle()
 	in := order.Input{
@@ -87,7 +87,7 @@
 		r.setDraining(false)
 		o.releaseSlot(ctx)
 	case order.AcquireSlot, order.AwaitTurn:
-		o.acquireSlot(ctx, loads)
+		o.acquireSlot(ctx, maxLoads)
 	case order.Drain:
 		r.setDraining(true)
 	case order.Load:
@@ -98,7 +98,7 @@
 
 // desired returns the weights that the engine should have, the target's rank among the
 // targets of its model, and how many of these may load at the same time.
-func (o *orderController) desired() (weights string, rank, loads int) {
+func (o *orderController) desired() (weights string, rank, maxLoads int) {
 	snapshot := o.agent.follower.State().Snapshot
 	name := o.agent.settings.Target.Name
 	model := snapshot.Targets[name].Model
@@ -111,7 +111,7 @@
 // acquireSlot tries to acquire one of the load slots, at most once per
 // slotRetryInterval. Slots are bound to leases, so that those of a dead agent are
 // released.
-func (o *orderController) acquireSlot(ctx context.Context, loads int) {
+func (o *orderController) acquireSlot(ctx context.Context, maxLoads int) {
 	if time.Now().Before(o.nextSlotTry) {
 		return
 	}
@@ -128,7 +128,7 @@
 	if !o.trackPlatform(err) {
 		return
 	}
-	for i := range loads {
+	for i := range maxLoads {
 		key := fmt.Sprintf("%s%d", slotPrefix, i)
 		if !taken[key] && o.tryAcquireSlot(ctx, key, lease) {
 			return
@@ -229,12 +229,12 @@
 // mustAwaitForeignOrder reports whether another holder's order may still reach an
 // engine that does not check fencing numbers.
 func (o *orderController) mustAwaitForeignOrder(entry store.Entry) bool {
-	var have orderRecord
-	if entry.Revision == 0 || json.Unmarshal(entry.Value, &have) != nil {
+	var stored orderRecord
+	if entry.Revision == 0 || json.Unmarshal(entry.Value, &stored) != nil {
 		return false
 	}
 	checks := o.agent.follower.State().Snapshot.Targets[o.agent.settings.Target.Name].ChecksFencing
-	if have.Done || have.Incarnation == o.agent.incarnation || checks {
+	if stored.Done || stored.Incarnation == o.agent.incarnation || checks {
 		return false
 	}
 	if entry.Revision != o.lastRevision {
--- a/agent/pace.go
+++ b/agent/rate_estimator.go
@@ -21,46 +21,46 @@
 	rateWeight = 0.2
 )
 
-func (p *rateEstimator) begin(now time.Time) {
-	p.accrue(now)
-	p.activePrefills++
+func (e *rateEstimator) begin(now time.Time) {
+	e.accrue(now)
+	e.activePrefills++
 }
 
 // end records the end of one prefill. completed is false for a prefill that was
 // abandoned: the number of tokens computed is then unknown and not counted.
-func (p *rateEstimator) end(tokens int, completed bool, now time.Time) {
-	p.accrue(now)
-	p.activePrefills--
+func (e *rateEstimator) end(tokens int, completed bool, now time.Time) {
+	e.accrue(now)
+	e.activePrefills--
 	if completed {
-		p.tokens += tokens
+		e.tokens += tokens
 	}
-	if p.elapsed < rateWindow || p.tokens == 0 {
+	if e.elapsed < rateWindow || e.tokens == 0 {
 		return
 	}
-	measured := float64(p.tokens) / p.elapsed.Seconds()
-	if !p.hasSample {
-		p.rate, p.hasSample = measured, true
+	measured := float64(e.tokens) / e.elapsed.Seconds()
+	if !e.hasSample {
+		e.rate, e.hasSample = measured, true
 	}
-	p.rate += rateWeight * (measured - p.rate)
-	p.tokens, p.elapsed = 0, 0
+	e.rate += rateWeight * (measured - e.rate)
+	e.tokens, e.elapsed = 0, 0
 }
 
-func (p *rateEstimator) accrue(now time.Time) {
-	if p.activePrefills > 0 {
-		p.elapsed += now.Sub(p.updatedAt)
+func (e *rateEstimator) accrue(now time.Time) {
+	if e.activePrefills > 0 {
+		e.elapsed += now.Sub(e.updatedAt)
 	}
-	p.updatedAt = now
+	e.updatedAt = now
 }
 
 // measuredRate returns the rate, or 0 before the first measurement.
-func (p *rateEstimator) measuredRate() float64 {
-	if !p.hasSample {
+func (e *rateEstimator) measuredRate() float64 {
+	if !e.hasSample {
 		return 0
 	}
-	return p.rate
+	return e.rate
 }
 
 // prefillTime returns the expected time to compute the given number of tokens.
-func (p *rateEstimator) prefillTime(tokens int) time.Duration {
-	return time.Duration(float64(tokens) / p.rate * float64(time.Second))
+func (e *rateEstimator) prefillTime(tokens int) time.Duration {
+	return time.Duration(float64(tokens) / e.rate * float64(time.Second))
 }
