--- a/agent/generate.go
+++ b/agent/generate.go
@@ -14,23 +14,23 @@
 	"acaciakeel/target"
 )
 
-// Generate implements AgentServiceHandler: it runs a model request, or
-// attaches to one that is known, and sends its events from an offset.
+// Generate implements AgentServiceHandler. It runs a model request, or attaches to one
+// that exists, and sends its events from the requested offset.
 func (a *Agent) Generate(ctx context.Context, req *connect.Request[keelv1.GenerateRequest], out *connect.ServerStream[keelv1.GenerateResponse]) error {
 	a.follower.Hint(int64(req.Msg.ConfigRevision))
 	if a.runner == nil {
 		return a.sendRefusal(out, refusal.New(refusal.NoTarget, "check the Target resource", "this agent's target is no engine"))
 	}
-	j, refused := a.job(ctx, req.Msg)
+	j, refused := a.findOrSubmit(ctx, req.Msg)
 	if refused != nil {
 		return a.sendRefusal(out, refused)
 	}
 	return a.sendEvents(ctx, j, int(req.Msg.Offset), out)
 }
 
-func (a *Agent) job(ctx context.Context, req *keelv1.GenerateRequest) (*job, *refusal.Error) {
+func (a *Agent) findOrSubmit(ctx context.Context, req *keelv1.GenerateRequest) (*job, *refusal.Error) {
 	if req.AttachOnly {
-		return a.runner.adopt(ctx, req)
+		return a.runner.findOrAdopt(ctx, req)
 	}
 	return a.runner.submit(req, time.Now())
 }
@@ -50,14 +50,13 @@
 	}
 }
 
-// sendEvents sends a job's events from offset on, and a heartbeat whenever
-// there was none for a while, so that the entry can tell an idle stream from
-// a connection that has gone silent.
+// sendEvents sends a job's events from offset on. On an idle stream it sends
+// heartbeats, so that the entry can tell an idle stream from a dead connection.
 func (a *Agent) sendEvents(ctx context.Context, j *job, offset int, out *connect.ServerStream[keelv1.GenerateResponse]) error {
 	a.runner.attach(j)
 	defer func() { a.runner.detach(j, time.Now()) }()
 	if !j.buffer.CanReadFrom(offset) {
-		return a.sendRefusal(out, lostRefusal())
+		return a.sendRefusal(out, streamLostRefusal())
 	}
 	interval := settings.Millis(a.settings.Stream.HeartbeatMS)
 	heartbeat := time.NewTimer(interval)
@@ -108,16 +107,16 @@
 	}}})
 }
 
-func lostRefusal() *refusal.Error {
+func streamLostRefusal() *refusal.Error {
 	e := refusal.New(refusal.ResumeUnavailable, "the stream goes on at another runner", "this agent has lost the stream")
 	e.Outcome = refusal.Unknown
 	return e
 }
 
-// adopt returns the job that an entry wants to go on reading. An agent that
-// was restarted has no such job, but its engine may still run it: then the
-// stream is taken over from the engine at the entry's offset.
-func (r *runner) adopt(ctx context.Context, req *keelv1.GenerateRequest) (*job, *refusal.Error) {
+// findOrAdopt returns the job whose stream an entry resumes. An agent that has
+// restarted does not know the job, but the engine may still run it: the agent then
+// resumes the engine's stream at the entry's offset.
+func (r *runner) findOrAdopt(ctx context.Context, req *keelv1.GenerateRequest) (*job, *refusal.Error) {
 	id := jobID(req.Customer, req.RequestId, req.Attempt)
 	r.mu.Lock()
 	j := r.jobs[id]
@@ -127,25 +126,26 @@
 		return j, nil
 	}
 	if stopping {
-		return nil, lostRefusal()
+		return nil, streamLostRefusal()
 	}
 	s, err := r.engine.Resume(context.WithoutCancel(ctx), id, int(req.Offset))
 	if err != nil {
 		return nil, adoptRefusal(err)
 	}
 	r.metrics.adopted.Inc()
-	return r.takeOver(req, s), nil
+	return r.adoptStream(req, s), nil
 }
 
 func adoptRefusal(err error) *refusal.Error {
 	if errors.Is(err, target.ErrStreamNotFound) {
-		return lostRefusal()
+		return streamLostRefusal()
 	}
-	return brokenRefusal(err)
+	return streamBrokenRefusal(err)
 }
 
-// takeOver registers a job whose engine stream is already running.
-func (r *runner) takeOver(req *keelv1.GenerateRequest, s *target.Stream) *job {
+// adoptStream registers a job for an engine stream that is already running. If the job
+// was registered in the meantime, it closes the stream and returns that job.
+func (r *runner) adoptStream(req *keelv1.GenerateRequest, s *target.Stream) *job {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := jobID(req.Customer, req.RequestId, req.Attempt)
@@ -156,11 +156,12 @@
 	now := time.Now()
 	j := newJob(req, int(req.Offset), now)
 	j.phase = decoding
-	j.dispatched = now
-	// Nothing is claimed of this request's blocks: its boot is not known here.
+	j.dispatchedAt = now
+	// The boot on which the engine started this request is unknown, so its blocks are
+	// not counted as cached.
 	j.bootID = ""
 	r.running++
 	r.jobs[id] = j
-	go r.feed(j, s)
+	go r.bufferStream(j, s)
 	return j
 }
--- a/agent/job.go
+++ b/agent/job.go
@@ -12,7 +12,7 @@
 	"acaciakeel/target"
 )
 
-// phase is how far a job has come.
+// phase is the progress of a job.
 type phase int
 
 const (
@@ -31,22 +31,22 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	// The rest is guarded by the runner's mutex.
+	// The following fields are guarded by the runner's mutex.
 	phase phase
-	// claimed is the tokens that the agent believed to be cached when the job
-	// was given to the engine; missing is the rest.
-	claimed    int
-	missing    int
-	bootID     string
-	dispatched time.Time
-	readers    int
-	unread     time.Time
-	endedAt    time.Time
+	// cachedTokens is the number of prompt tokens expected to be cached at the last
+	// estimate, which is made at dispatch; uncachedTokens is the rest, at least 1.
+	cachedTokens   int
+	uncachedTokens int
+	bootID         string
+	dispatchedAt   time.Time
+	readers        int
+	unreadSince    time.Time
+	endedAt        time.Time
 }
 
-// jobID names an attempt, here and at the engine. The customer is part of it,
-// so that nobody reaches another's stream with the id of one of its events,
-// even through an agent that was restarted and knows only what its engine has.
+// jobID identifies an attempt, both here and at the engine. It includes the customer,
+// so that no customer can read another's stream with a request id, even through an
+// agent that has restarted and knows only the requests at its engine.
 func jobID(customer, requestID string, attempt uint32) string {
 	return fmt.Sprintf("%s.%d.%016x", requestID, attempt, prefix.NameHash(customer))
 }
@@ -54,12 +54,12 @@
 func newJob(req *keelv1.GenerateRequest, base int, now time.Time) *job {
 	ctx, cancel := context.WithCancel(context.Background())
 	j := &job{
-		id:     jobID(req.Customer, req.RequestId, req.Attempt),
-		req:    req,
-		buffer: stream.NewBuffer(base),
-		ctx:    ctx,
-		cancel: cancel,
-		unread: now,
+		id:          jobID(req.Customer, req.RequestId, req.Attempt),
+		req:         req,
+		buffer:      stream.NewBuffer(base),
+		ctx:         ctx,
+		cancel:      cancel,
+		unreadSince: now,
 	}
 	j.item = &admission.Item{
 		ID:           j.id,
