--- a/entry/call.go
+++ b/entry/call.go
@@ -20,17 +20,17 @@
 
 // serviceCall is a decoded call of a plain service.
 type serviceCall struct {
-	caller      caller
-	service     string
-	method      string
-	path        string
-	contentType string
-	body        []byte
-	key         string
+	info           requestInfo
+	service        string
+	method         string
+	path           string
+	contentType    string
+	body           []byte
+	idempotencyKey string
 }
 
-// maxKeyBytes bounds an Idempotency-Key.
-const maxKeyBytes = 255
+// maxIdempotencyKeyBytes bounds an Idempotency-Key.
+const maxIdempotencyKeyBytes = 255
 
 func decodeCall(ctx context.Context, r *http.Request) (any, error) {
 	body, err := readBody(r)
@@ -38,25 +38,25 @@
 		return nil, err
 	}
 	c := &serviceCall{
-		caller:      callerOf(ctx),
-		service:     r.PathValue("service"),
-		method:      r.Method,
-		path:        "/" + r.PathValue("path"),
-		contentType: r.Header.Get("Content-Type"),
-		body:        body,
-		key:         r.Header.Get(headerIdempotency),
+		info:           requestInfoFrom(ctx),
+		service:        r.PathValue("service"),
+		method:         r.Method,
+		path:           "/" + r.PathValue("path"),
+		contentType:    r.Header.Get("Content-Type"),
+		body:           body,
+		idempotencyKey: r.Header.Get(headerIdempotency),
 	}
 	if r.URL.RawQuery != "" {
 		c.path += "?" + r.URL.RawQuery
 	}
-	if len(c.key) > maxKeyBytes {
-		return nil, refusal.New(refusal.BadRequest, "use at most 255 bytes", "Idempotency-Key has %d bytes", len(c.key))
+	if len(c.idempotencyKey) > maxIdempotencyKeyBytes {
+		return nil, refusal.New(refusal.BadRequest, "use at most 255 bytes", "Idempotency-Key has %d bytes", len(c.idempotencyKey))
 	}
 	return c, nil
 }
 
-// idempotent reports whether a call may be repeated.
-func idempotent(s resource.Service, method, path string) bool {
+// isIdempotent reports whether a call may be repeated.
+func isIdempotent(s resource.Service, method, path string) bool {
 	if method == http.MethodGet || method == http.MethodHead {
 		return true
 	}
@@ -73,15 +73,15 @@
 	if !ok {
 		return nil, refusal.New(refusal.UnknownService, "ask the operator which there are", "there is no service %q", c.service)
 	}
-	if err := e.contracts.begin(c.caller.name, c.caller.contract, 0); err != nil {
+	if err := e.contracts.beginRequest(c.info.customer, c.info.contract, 0); err != nil {
 		return nil, err
 	}
-	defer e.contracts.end(c.caller.name, 0)
-	e.budget.request(c.caller.name)
+	defer e.contracts.endRequest(c.info.customer, 0)
+	e.retryBudgets.recordRequest(c.info.customer)
 	call := &pendingCall{entry: e, call: c, request: e.callRequest(c, spec)}
-	call.order = placement.RankTargets(snapshot.TargetsOfService(c.service), call.request.IdempotencyKey)
-	if call.boundToHome() && len(call.order) > 1 {
-		call.order = call.order[:1]
+	call.targets = placement.RankTargets(snapshot.TargetsOfService(c.service), call.request.IdempotencyKey)
+	if call.requiresHomeTarget() && len(call.targets) > 1 {
+		call.targets = call.targets[:1]
 	}
 	answer, refused := call.run(ctx)
 	if refused != nil {
@@ -92,19 +92,19 @@
 
 func (e *Entry) callRequest(c *serviceCall, spec resource.Service) *keelv1.CallRequest {
 	req := &keelv1.CallRequest{
-		RequestId:      c.caller.requestID,
-		Customer:       c.caller.name,
+		RequestId:      c.info.requestID,
+		Customer:       c.info.customer,
 		Service:        c.service,
 		Method:         c.method,
 		Path:           c.path,
 		Body:           c.body,
 		ContentType:    c.contentType,
-		IdempotencyKey: c.key,
-		Idempotent:     idempotent(spec, c.method, c.path),
+		IdempotencyKey: c.idempotencyKey,
+		Idempotent:     isIdempotent(spec, c.method, c.path),
 		ConfigRevision: uint64(e.follower.Revision()),
 		DeadlineMs:     uint32(spec.Timeout().Milliseconds()),
 	}
-	if c.key == "" {
+	if c.idempotencyKey == "" {
 		// Without a key of its own the caller can't repeat the call; the
 		// entry's own sends still need one.
 		req.IdempotencyKey = uuid.Must(uuid.NewV7()).String()
@@ -115,28 +115,28 @@
 
 // pendingCall is one call on its way over the targets of its service.
 type pendingCall struct {
-	entry   *Entry
-	call    *serviceCall
-	request *keelv1.CallRequest
-	order   []string
-	sends   int
+	entry     *Entry
+	call      *serviceCall
+	request   *keelv1.CallRequest
+	targets   []string
+	sendCount int
 }
 
-// boundToHome reports whether only the key's home may run the call: a key
+// requiresHomeTarget reports whether only the key's home may run the call: a key
 // that carries its time can run there without a claim while the platform's
 // service is down, and no other agent could then know of it.
-func (p *pendingCall) boundToHome() bool {
-	_, carriesTime := ledger.Made(p.request.IdempotencyKey)
-	return carriesTime && !p.request.FreshKey && !p.request.Idempotent
+func (p *pendingCall) requiresHomeTarget() bool {
+	_, hasTimestamp := ledger.Made(p.request.IdempotencyKey)
+	return hasTimestamp && !p.request.FreshKey && !p.request.Idempotent
 }
 
 // run sends the call to the targets in order until one has a final answer.
 // A call that may not be repeated goes on only after a truthful "not run".
 func (p *pendingCall) run(ctx context.Context) (*keelv1.CallResponse, *refusal.Error) {
-	last := refusal.New(refusal.NoTarget, "come back after the time in Retry-After", "service %q has no target that answers", p.call.service).WithRetryAfter(noTargetRetry)
-	for _, name := range p.usableOrder() {
-		if p.sends > 0 && !p.entry.budget.take(p.call.caller.name) {
-			p.entry.metrics.budgetSpent.Inc()
+	last := refusal.New(refusal.NoTarget, "come back after the time in Retry-After", "service %q has no target that answers", p.call.service).WithRetryAfter(noTargetRetryAfter)
+	for _, name := range p.targetsByAvailability() {
+		if p.sendCount > 0 && !p.entry.retryBudgets.take(p.call.info.customer) {
+			p.entry.metrics.retryBudgetExhausted.Inc()
 			return nil, last
 		}
 		answer, refused := p.sendTo(ctx, name)
@@ -144,9 +144,9 @@
 			return answer, nil
 		}
 		if refused.Kind == refusal.HeldElsewhere {
-			return p.follow(ctx, answer, refused)
+			return p.sendToHolder(ctx, answer, refused)
 		}
-		if !retry.Allowed(refused, p.request.Idempotent, p.sends) {
+		if !retry.Allowed(refused, p.request.Idempotent, p.sendCount) {
 			return nil, refused
 		}
 		last = refused
@@ -155,45 +155,45 @@
 	return nil, last
 }
 
-// usableOrder puts targets that are believed dead or leaving last. They are
+// targetsByAvailability puts targets that are believed dead or leaving last. They are
 // kept, because the home of a key decides even when it is slow to answer.
-func (p *pendingCall) usableOrder() []string {
+func (p *pendingCall) targetsByAvailability() []string {
 	t := p.entry.table.Load()
-	var first, later []string
-	for _, name := range p.order {
-		if isLeaving(t.state, name) || !p.entry.opinions.usable(name) {
-			later = append(later, name)
+	var available, unavailable []string
+	for _, name := range p.targets {
+		if isDraining(t.state, name) || !p.entry.health.allowRequest(name) {
+			unavailable = append(unavailable, name)
 			continue
 		}
-		first = append(first, name)
+		available = append(available, name)
 	}
-	return append(first, later...)
+	return append(available, unavailable...)
 }
 
-// follow asks the agent that holds the claim of a call.
-func (p *pendingCall) follow(ctx context.Context, held *keelv1.CallResponse, refused *refusal.Error) (*keelv1.CallResponse, *refusal.Error) {
-	if held == nil || held.HolderTarget == "" {
+// sendToHolder asks the agent that holds the claim of a call.
+func (p *pendingCall) sendToHolder(ctx context.Context, holder *keelv1.CallResponse, refused *refusal.Error) (*keelv1.CallResponse, *refusal.Error) {
+	if holder == nil || holder.HolderTarget == "" {
 		return nil, refusal.NewUnknown("another agent had the call and can't be named")
 	}
-	answer, next := p.sendAs(ctx, held.HolderTarget, held.HolderIncarnation)
+	answer, next := p.sendToIncarnation(ctx, holder.HolderTarget, holder.HolderIncarnation)
 	if next == nil {
 		return answer, nil
 	}
-	if next.Kind == refusal.HeldElsewhere || next.Kind == refusal.AgentRestarted || isUnreached(next) {
+	if next.Kind == refusal.HeldElsewhere || next.Kind == refusal.AgentRestarted || isNotSent(next) {
 		return nil, refusal.NewUnknown("the agent that had the call can't be reached (%s)", refused.Message)
 	}
 	return nil, next
 }
 
-func isUnreached(r *refusal.Error) bool {
+func isNotSent(r *refusal.Error) bool {
 	return r.Kind == refusal.TargetFailed && r.Outcome == refusal.NotRun
 }
 
 // Times of settling a call whose answer was lost.
 const (
-	settlePause   = 200 * time.Millisecond
-	settleTries   = 5
-	settleTimeout = time.Second
+	outcomeQueryPause   = 200 * time.Millisecond
+	outcomeQueryTries   = 5
+	outcomeQueryTimeout = time.Second
 )
 
 // sendTo sends the call to one target's agent, to whichever process is there.
@@ -201,84 +201,84 @@
 // only that one is asked for what became of it.
 func (p *pendingCall) sendTo(ctx context.Context, name string) (*keelv1.CallResponse, *refusal.Error) {
 	if p.request.Idempotent {
-		return p.sendAs(ctx, name, "")
+		return p.sendToIncarnation(ctx, name, "")
 	}
-	incarnation, err := p.entry.incarnations.of(ctx, p.entry, name)
+	incarnation, err := p.entry.incarnations.getOrFetch(ctx, p.entry, name)
 	if err != nil {
-		return nil, p.unreached(name, err)
+		return nil, p.notSent(name, err)
 	}
-	answer, refused := p.sendAs(ctx, name, incarnation)
+	answer, refused := p.sendToIncarnation(ctx, name, incarnation)
 	if refused == nil || refused.Kind != refusal.AgentRestarted {
 		return answer, refused
 	}
 	p.entry.incarnations.set(name, answer.Incarnation)
-	return p.sendAs(ctx, name, answer.Incarnation)
+	return p.sendToIncarnation(ctx, name, answer.Incarnation)
 }
 
-// unreached is the refusal after a send that provably did not happen. At the
+// notSent is the refusal after a send that provably did not happen. At the
 // home of a key that is bound to it, an earlier send may have.
-func (p *pendingCall) unreached(name string, err error) *refusal.Error {
+func (p *pendingCall) notSent(name string, err error) *refusal.Error {
 	r := refusal.New(refusal.TargetFailed, "another target takes the call", "no connection to the agent of %s: %v", name, err)
-	if p.boundToHome() {
+	if p.requiresHomeTarget() {
 		r.Outcome = refusal.Unknown
 		r.Remedy = "ask again with the same Idempotency-Key"
 	}
 	return r
 }
 
-// sendAs sends the call to one incarnation of one target's agent. Where the
+// sendToIncarnation sends the call to one incarnation of one target's agent. Where the
 // answer is lost, the same incarnation is asked what became of the call.
-func (p *pendingCall) sendAs(ctx context.Context, name, incarnation string) (*keelv1.CallResponse, *refusal.Error) {
+func (p *pendingCall) sendToIncarnation(ctx context.Context, name, incarnation string) (*keelv1.CallResponse, *refusal.Error) {
 	e := p.entry
 	url, ok := e.table.Load().agentURL[name]
 	if !ok {
 		return nil, refusal.NewUnknown("target %q, which had the call, is no longer configured", name)
 	}
-	p.sends++
+	p.sendCount++
 	p.request.RequireIncarnation = incarnation
-	p.request.Attempt = uint32(p.sends - 1)
+	p.request.Attempt = uint32(p.sendCount - 1)
 	peer := e.links.Peer(url)
 	clients := peer.Clients()
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(p.request.DeadlineMs)*time.Millisecond+settleTimeout)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(p.request.DeadlineMs)*time.Millisecond+outcomeQueryTimeout)
 	defer cancel()
 	response, err := clients.Agent.Call(ctx, connect.NewRequest(p.request))
 	if err == nil {
-		e.opinions.succeeded(name)
-		return p.read(response.Msg)
+		e.health.recordSuccess(name)
+		return p.decodeResponse(response.Msg)
 	}
-	if ending := endingOf(ctx); ending != nil {
+	if shutdown := shutdownRefusal(ctx); shutdown != nil {
 		// That is no sign of the agent, and leaves no time to ask it what became of
 		// the call.
-		return nil, ending
+		return nil, shutdown
 	}
 	peer.Renew(clients)
-	e.opinions.failed(name)
-	if isDial(err) {
-		return nil, p.unreached(name, err)
+	e.health.recordFailure(name)
+	if isDialError(err) {
+		return nil, p.notSent(name, err)
 	}
 	if p.request.Idempotent {
 		return nil, refusal.NewUnknown("the answer of %s was lost: %v", name, err)
 	}
-	return p.settle(ctx, name, url)
+	return p.resolveOutcome(ctx, name, url)
 }
 
-func (p *pendingCall) read(m *keelv1.CallResponse) (*keelv1.CallResponse, *refusal.Error) {
+func (p *pendingCall) decodeResponse(m *keelv1.CallResponse) (*keelv1.CallResponse, *refusal.Error) {
 	if m.Refusal == nil {
 		return m, nil
 	}
 	return m, decodeRefusal(m.Refusal)
 }
 
-// settle finds out what became of a call whose answer was lost. Asking with
+// resolveOutcome finds out what became of a call whose answer was lost. Asking with
 // Abandon rather than sending again means that a call which had not arrived
 // yet can't run after the caller was told "not run".
-func (p *pendingCall) settle(ctx context.Context, name, url string) (*keelv1.CallResponse, *refusal.Error) {
+func (p *pendingCall) resolveOutcome(ctx context.Context, name, url string) (*keelv1.CallResponse, *refusal.Error) {
 	ctx = context.WithoutCancel(ctx)
 	peer := p.entry.links.Peer(url)
-	for try := range settleTries {
-		time.Sleep(time.Duration(try) * settlePause)
+	for try := range outcomeQueryTries {
+		time.Sleep(time.Duration(try) * outcomeQueryPause)
 		clients := peer.Clients()
-		outcome, err := p.askOutcome(ctx, clients.Agent.Abandon)
+		outcome, err := p.queryOutcome(ctx, clients.Agent.Abandon)
 		if err != nil {
 			peer.Renew(clients)
 			continue
@@ -291,17 +291,17 @@
 		if outcome.Outcome == string(refusal.NotRun) {
 			return nil, refusal.New(refusal.TargetFailed, "another target takes the call", "the agent of %s never had the call", name)
 		}
-		if response, err := p.askAnswer(ctx, clients.Agent.Call); err == nil {
-			return p.read(response)
+		if response, err := p.joinCall(ctx, clients.Agent.Call); err == nil {
+			return p.decodeResponse(response)
 		}
 	}
 	return nil, refusal.NewUnknown("the agent of %s had the call and does not answer", name)
 }
 
-type abandonCall func(context.Context, *connect.Request[keelv1.AbandonRequest]) (*connect.Response[keelv1.AbandonResponse], error)
+type abandonFunc func(context.Context, *connect.Request[keelv1.AbandonRequest]) (*connect.Response[keelv1.AbandonResponse], error)
 
-func (p *pendingCall) askOutcome(ctx context.Context, abandon abandonCall) (*keelv1.AbandonResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+func (p *pendingCall) queryOutcome(ctx context.Context, abandon abandonFunc) (*keelv1.AbandonResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, outcomeQueryTimeout)
 	defer cancel()
 	response, err := abandon(ctx, connect.NewRequest(&keelv1.AbandonRequest{
 		RequestId:      p.request.RequestId,
@@ -318,10 +318,10 @@
 	return response.Msg, nil
 }
 
-type callCall func(context.Context, *connect.Request[keelv1.CallRequest]) (*connect.Response[keelv1.CallResponse], error)
+type callFunc func(context.Context, *connect.Request[keelv1.CallRequest]) (*connect.Response[keelv1.CallResponse], error)
 
-// askAnswer joins the call at the agent that has it.
-func (p *pendingCall) askAnswer(ctx context.Context, call callCall) (*keelv1.CallResponse, error) {
+// joinCall joins the call at the agent that has it.
+func (p *pendingCall) joinCall(ctx context.Context, call callFunc) (*keelv1.CallResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(p.request.DeadlineMs)*time.Millisecond)
 	defer cancel()
 	response, err := call(ctx, connect.NewRequest(p.request))
@@ -336,7 +336,7 @@
 
 func encodeCall(ctx context.Context, w http.ResponseWriter, response any) error {
 	r := response.(*keelv1.CallResponse)
-	w.Header().Set(headerRequestID, callerOf(ctx).requestID)
+	w.Header().Set(headerRequestID, requestInfoFrom(ctx).requestID)
 	if r.ContentType != "" {
 		w.Header().Set("Content-Type", r.ContentType)
 	}
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -9,71 +9,71 @@
 	"acaciakeel/refusal"
 )
 
-// completion is a decoded model request of either kind.
-type completion struct {
-	caller      caller
-	chat        bool
-	model       string
-	prompt      prefix.Prompt
-	maxTokens   *int
-	stream      bool
-	withUsage   bool
-	deadline    time.Duration
-	lastEventID string
+// completionRequest is a decoded model request of either kind.
+type completionRequest struct {
+	info         requestInfo
+	isChat       bool
+	model        string
+	prompt       prefix.Prompt
+	maxTokens    *int
+	stream       bool
+	includeUsage bool
+	deadline     time.Duration
+	lastEventID  string
 }
 
-// reply is the answer to a completion: a session whose first event is there.
-type reply struct {
-	completion *completion
-	plan       *plan
+// completionReply is the answer to a completion: a session whose first event is there.
+type completionReply struct {
+	request    *completionRequest
+	model      *modelRequest
 	session    *session
-	first      event
-	done       func(tokens int)
+	firstEvent streamEvent
+	endRequest func(tokens int)
 }
 
 // completionEndpoint runs a model request up to its first event, so that all
 // that can be refused is refused with an HTTP status.
 func (e *Entry) completionEndpoint(ctx context.Context, request any) (any, error) {
-	c := request.(*completion)
-	p, err := e.newPlan(c)
+	c := request.(*completionRequest)
+	m, err := e.newModelRequest(c)
 	if err != nil {
 		return nil, err
 	}
-	if err := e.contracts.begin(p.customer, p.contract, prefix.TokenCount(len(p.prompt.Text))); err != nil {
+	if err := e.contracts.beginRequest(m.customer, m.contract, prefix.TokenCount(len(m.prompt.Text))); err != nil {
 		return nil, err
 	}
-	done := func(tokens int) { e.contracts.end(p.customer, tokens) }
-	s, err := e.openSession(ctx, c, p)
+	endRequest := func(tokens int) { e.contracts.endRequest(m.customer, tokens) }
+	s, err := e.openSession(ctx, c, m)
 	if err != nil {
-		done(0)
+		endRequest(0)
 		return nil, err
 	}
 	first, ok := <-s.events
 	if !ok {
-		done(0)
-		return nil, s.ended()
+		endRequest(0)
+		return nil, s.endError()
 	}
-	e.metrics.firstToken.WithLabelValues(p.model).Observe(time.Since(p.received).Seconds())
-	return &reply{completion: c, plan: p, session: s, first: first, done: done}, nil
+	e.metrics.firstToken.WithLabelValues(m.model).Observe(time.Since(m.received).Seconds())
+	return &completionReply{request: c, model: m, session: s, firstEvent: first, endRequest: endRequest}, nil
 }
 
-func (e *Entry) openSession(ctx context.Context, c *completion, p *plan) (*session, error) {
+func (e *Entry) openSession(ctx context.Context, c *completionRequest, m *modelRequest) (*session, error) {
 	if c.lastEventID == "" {
-		return e.startSession(ctx, p), nil
+		return e.startSession(ctx, m), nil
 	}
 	point, err := parseResumePoint(c.lastEventID)
 	if err != nil {
 		return nil, refusal.New(refusal.BadRequest, "send back the id of the last event that came", "Last-Event-ID: %v", err)
 	}
-	s, refused := e.resumeSession(ctx, p, point)
+	s, refused := e.resumeSession(ctx, m, point)
 	if refused != nil {
 		return nil, refused
 	}
 	return s, nil
 }
 
-// ended returns why a session ended without an event.
-func (s *session) ended() error {
+// endError returns why a session endError without an event.
+func (s *session) endError() error {
 	if s.err == nil {
 		return refusal.NewUnknown("the stream ended without an event")
 	}
@@ -83,7 +83,7 @@
 // adapterSeparator stands between a model and an adapter in a request.
 const adapterSeparator = ":"
 
-func (e *Entry) newPlan(c *completion) (*plan, error) {
+func (e *Entry) newModelRequest(c *completionRequest) (*modelRequest, error) {
 	snapshot := e.table.Load().snapshot()
 	name, adapter, _ := strings.Cut(c.model, adapterSeparator)
 	spec, ok := snapshot.Models[name]
@@ -94,44 +94,44 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &plan{
-		requestID:  c.caller.requestID,
-		customer:   c.caller.name,
-		contract:   c.caller.contract,
+	m := &modelRequest{
+		requestID:  c.info.requestID,
+		customer:   c.info.customer,
+		contract:   c.info.contract,
 		model:      name,
 		adapter:    adapter,
 		spec:       spec,
 		prompt:     c.prompt,
 		maxTokens:  maxTokens,
-		preference: snapshot.PreferenceOf(c.caller.contract),
-		received:   c.caller.received,
+		preference: snapshot.PreferenceOf(c.info.contract),
+		received:   c.info.received,
 		resumable:  c.stream,
 	}
 	if c.deadline > 0 {
-		p.deadline = c.caller.received.Add(c.deadline)
+		m.deadline = c.info.received.Add(c.deadline)
 	}
-	return p, nil
+	return m, nil
 }
 
 func hasAdapter(adapters []string, adapter string) bool {
 	if adapter == "" {
 		return true
 	}
-	for _, have := range adapters {
-		if have == adapter {
+	for _, known := range adapters {
+		if known == adapter {
 			return true
 		}
 	}
 	return false
 }
 
-func (e *Entry) maxTokens(asked *int) (int, error) {
+func (e *Entry) maxTokens(requested *int) (int, error) {
 	limits := e.settings.Limits
-	if asked == nil {
+	if requested == nil {
 		return limits.DefaultTokens, nil
 	}
-	if *asked < 1 || *asked > limits.MaxTokens {
-		return 0, refusal.New(refusal.BadRequest, "use 1 to "+itoa(limits.MaxTokens), "max_tokens is %d", *asked)
+	if *requested < 1 || *requested > limits.MaxTokens {
+		return 0, refusal.New(refusal.BadRequest, "use 1 to "+itoa(limits.MaxTokens), "max_tokens is %d", *requested)
 	}
-	return *asked, nil
+	return *requested, nil
 }
--- a/entry/contracts.go
+++ b/entry/contracts.go
@@ -11,20 +11,20 @@
 
 // contracts holds each customer's account at this entry.
 type contracts struct {
-	mu       sync.Mutex
-	accounts map[string]*contract.Account
-	entries  int
+	mu         sync.Mutex
+	accounts   map[string]*contract.Account
+	entryCount int
 }
 
 func newContracts() *contracts {
-	return &contracts{accounts: map[string]*contract.Account{}, entries: 1}
+	return &contracts{accounts: map[string]*contract.Account{}, entryCount: 1}
 }
 
-// setEntries tells how many entries share the limits.
-func (c *contracts) setEntries(n int) {
+// setEntryCount tells how many entries share the limits.
+func (c *contracts) setEntryCount(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.entries = max(1, n)
+	c.entryCount = max(1, n)
 }
 
 func (c *contracts) account(name string, spec resource.Customer, now time.Time) *contract.Account {
@@ -32,7 +32,7 @@
 		RequestsPerSecond: spec.RequestsPerSecond,
 		TokensPerSecond:   spec.TokensPerSecond,
 		Streams:           spec.Streams,
-	}.Share(c.entries)
+	}.Share(c.entryCount)
 	a := c.accounts[name]
 	if a == nil {
 		a = contract.NewAccount(limits)
@@ -42,21 +42,21 @@
 	return a
 }
 
-// begin takes a request in, or refuses it.
-func (c *contracts) begin(name string, spec resource.Customer, tokens int) *refusal.Error {
+// beginRequest takes a request in, or refuses it.
+func (c *contracts) beginRequest(name string, spec resource.Customer, tokens int) *refusal.Error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	exceeded, after := c.account(name, spec, now).Begin(tokens, now)
+	exceeded, retryAfter := c.account(name, spec, now).Begin(tokens, now)
 	if exceeded == contract.None {
 		return nil
 	}
 	return refusal.New(refusal.ContractExceeded, "come back after the time in Retry-After, or ask the operator for a larger contract",
-		"the contract's limit of %s is met", exceeded).WithRetryAfter(after)
+		"the contract's limit of %s is met", exceeded).WithRetryAfter(retryAfter)
 }
 
-// end ends a request, charging the tokens it generated.
-func (c *contracts) end(name string, tokens int) {
+// endRequest ends a request, charging the tokens it generated.
+func (c *contracts) endRequest(name string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a := c.accounts[name]
--- a/entry/encode.go
+++ b/entry/encode.go
@@ -11,53 +11,53 @@
 	"acaciakeel/stream"
 )
 
-// encodeReply writes a completion's answer: a stream of server-sent events,
+// encodeCompletion writes a completion's answer: a stream of server-sent events,
 // or one JSON object.
-func (e *Entry) encodeReply(ctx context.Context, w http.ResponseWriter, response any) error {
-	r := response.(*reply)
-	w.Header().Set(headerRequestID, r.plan.requestID)
-	if r.completion.stream {
+func (e *Entry) encodeCompletion(ctx context.Context, w http.ResponseWriter, response any) error {
+	r := response.(*completionReply)
+	w.Header().Set(headerRequestID, r.model.requestID)
+	if r.request.stream {
 		e.writeStream(ctx, w, r)
 		return nil
 	}
-	return e.writeWhole(ctx, w, r)
+	return e.writeJSON(ctx, w, r)
 }
 
-// each calls take with every event of the reply and returns why the stream
+// forEachEvent calls take with every event of the reply and returns why the stream
 // broke off, if it did. Contract and counters are settled here.
-func (e *Entry) each(r *reply, take func(event)) *refusal.Error {
+func (e *Entry) forEachEvent(r *completionReply, handle func(streamEvent)) *refusal.Error {
 	tokens := 0
-	defer func() { r.done(tokens) }()
-	whole := false
-	one := func(ev event) {
+	defer func() { r.endRequest(tokens) }()
+	finished := false
+	process := func(ev streamEvent) {
 		if ev.finish != nil {
-			whole = true
-			e.countFinish(ev.finish)
+			finished = true
+			e.recordPromptTokens(ev.finish)
 		} else {
 			tokens++
 		}
-		take(ev)
+		handle(ev)
 	}
-	one(r.first)
+	process(r.firstEvent)
 	for ev := range r.session.events {
-		one(ev)
+		process(ev)
 	}
-	e.metrics.tokens.WithLabelValues(r.plan.customer).Add(float64(tokens))
-	if whole {
+	e.metrics.tokens.WithLabelValues(r.model.customer).Add(float64(tokens))
+	if finished {
 		return nil
 	}
-	return refusal.From(r.session.ended())
+	return refusal.From(r.session.endError())
 }
 
-func (e *Entry) countFinish(f *stream.Finish) {
+func (e *Entry) recordPromptTokens(f *stream.Finish) {
 	e.metrics.promptTokens.WithLabelValues("yes").Add(float64(f.CachedTokens))
 	e.metrics.promptTokens.WithLabelValues("no").Add(float64(max(0, f.PromptTokens-f.CachedTokens)))
 }
 
-func (e *Entry) writeWhole(ctx context.Context, w http.ResponseWriter, r *reply) error {
+func (e *Entry) writeJSON(ctx context.Context, w http.ResponseWriter, r *completionReply) error {
 	var text strings.Builder
 	var finish *stream.Finish
-	err := e.each(r, func(ev event) {
+	err := e.forEachEvent(r, func(ev streamEvent) {
 		text.WriteString(ev.text)
 		finish = ev.finish
 	})
@@ -65,10 +65,10 @@
 		e.encodeError(ctx, err, w)
 		return nil
 	}
-	a := r.answer()
+	a := r.newResponse()
 	a.Usage = newUsage(finish)
 	content := text.String()
-	if r.completion.chat {
+	if r.request.isChat {
 		a.Object = "chat.completion"
 		a.Choices = []choice{{Message: &chatContent{Role: "assistant", Content: content}, FinishReason: &finish.Reason}}
 	} else {
@@ -78,14 +78,14 @@
 	return json.NewEncoder(w).Encode(a)
 }
 
-func (r *reply) answer() answer {
-	a := answer{
-		ID:      r.plan.requestID,
+func (r *completionReply) newResponse() completionResponse {
+	a := completionResponse{
+		ID:      r.model.requestID,
 		Object:  "text_completion",
-		Created: r.plan.received.Unix(),
-		Model:   r.completion.model,
+		Created: r.model.received.Unix(),
+		Model:   r.request.model,
 	}
-	if r.completion.chat {
+	if r.request.isChat {
 		a.Object = "chat.completion.chunk"
 	}
 	return a
@@ -103,19 +103,19 @@
 // writeStream writes each event as it comes. A stream that breaks off ends
 // with an error event and without the closing [DONE], so that no client takes
 // a part for the whole.
-func (e *Entry) writeStream(_ context.Context, w http.ResponseWriter, r *reply) {
+func (e *Entry) writeStream(_ context.Context, w http.ResponseWriter, r *completionReply) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	out := http.NewResponseController(w)
-	err := e.each(r, func(ev event) {
-		a := r.answer()
+	err := e.forEachEvent(r, func(ev streamEvent) {
+		a := r.newResponse()
 		if ev.finish == nil {
 			a.Choices = []choice{r.delta(ev)}
 		} else {
-			a.Choices = []choice{r.lastDelta(ev.finish)}
+			a.Choices = []choice{r.finalDelta(ev.finish)}
 		}
 		writeEvent(w, ev.id, a)
-		if ev.finish != nil && r.completion.withUsage {
+		if ev.finish != nil && r.request.includeUsage {
 			a.Choices = []choice{}
 			a.Usage = newUsage(ev.finish)
 			writeEvent(w, ev.id, a)
@@ -124,14 +124,14 @@
 	})
 	if err != nil {
 		e.metrics.refusals.WithLabelValues(string(err.Kind)).Inc()
-		writeEvent(w, "", newErrorBody(err, r.plan.requestID))
+		writeEvent(w, "", newErrorBody(err, r.model.requestID))
 		return
 	}
 	_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-func (r *reply) delta(ev event) choice {
-	if !r.completion.chat {
+func (r *completionReply) delta(ev streamEvent) choice {
+	if !r.request.isChat {
 		return choice{Text: &ev.text}
 	}
 	c := &chatContent{Content: ev.text}
@@ -141,8 +141,8 @@
 	return choice{Delta: c}
 }
 
-func (r *reply) lastDelta(f *stream.Finish) choice {
-	if !r.completion.chat {
+func (r *completionReply) finalDelta(f *stream.Finish) choice {
+	if !r.request.isChat {
 		empty := ""
 		return choice{Text: &empty, FinishReason: &f.Reason}
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -30,12 +30,12 @@
 	follower     *configsync.Follower
 	configServer *configsync.Server
 	links        *link.Pool
-	table        atomic.Pointer[table]
-	opinions     *opinions
+	table        atomic.Pointer[routingTable]
+	health       *healthTable
 	contracts    *contracts
-	budget       *budgets
-	incarnations *incarnations
-	rollouts     *rollouts
+	retryBudgets *retryBudgets
+	incarnations *incarnationCache
+	rollouts     *rolloutTracker
 	stopping     atomic.Bool
 	// configured closes when the first configuration is in force, stopped when
 	// the last requests are to end.
@@ -50,11 +50,11 @@
 		log:          log.WithField("entry", s.Self.Name),
 		registry:     telemetry.NewRegistry(),
 		links:        link.NewPool(link.Options{}),
-		opinions:     newOpinions(),
+		health:       newHealthTable(),
 		contracts:    newContracts(),
-		budget:       newBudgets(s.Routing.RetryRatio),
-		incarnations: newIncarnations(),
-		rollouts:     newRollouts(),
+		retryBudgets: newRetryBudgets(s.Routing.RetryRatio),
+		incarnations: newIncarnationCache(),
+		rollouts:     newRolloutTracker(),
 		configured:   make(chan struct{}),
 		stopped:      make(chan struct{}),
 	}
@@ -67,15 +67,15 @@
 		Store:      client,
 		Directory:  store.NewVMList(s.Platform.URL),
 		Links:      e.links,
-		OnEvent:    e.configEvent,
+		OnEvent:    e.onConfigEvent,
 	})
 	e.configServer = configsync.NewServer(e.follower)
-	e.table.Store(newTable(e.follower.State()))
+	e.table.Store(newRoutingTable(e.follower.State()))
 	e.registerGauges()
 	return e
 }
 
-func (e *Entry) configEvent(event string, err error) {
+func (e *Entry) onConfigEvent(event string, err error) {
 	e.metrics.configEvents.WithLabelValues(event).Inc()
 	e.log.WithError(err).WithField("event", event).Debug("following the configuration failed")
 }
@@ -106,13 +106,13 @@
 
 // applyState swaps the routing table for that of the current state.
 func (e *Entry) applyState() {
-	t := newTable(e.follower.State())
+	t := newRoutingTable(e.follower.State())
 	old := e.table.Swap(t)
 	if old.snapshot().Revision == 0 && t.snapshot().Revision > 0 {
 		close(e.configured)
 	}
-	e.contracts.setEntries(t.state.Count(vm.Entry))
-	e.opinions.keep(t.agentURL)
+	e.contracts.setEntryCount(t.state.Count(vm.Entry))
+	e.health.retain(t.agentURL)
 	if old.snapshot().Revision != t.snapshot().Revision {
 		e.log.WithFields(logrus.Fields{
 			"event":    "config_applied",
@@ -126,10 +126,10 @@
 // /healthz and /readyz.
 func (e *Entry) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /v1/chat/completions", e.server("chat", e.completionEndpoint, decodeChat, e.encodeReply))
-	mux.Handle("POST /v1/completions", e.server("completion", e.completionEndpoint, decodeText, e.encodeReply))
-	mux.Handle("GET /v1/models", e.server("models", e.modelsEndpoint, decodeNothing, encodeJSON))
-	mux.Handle("/services/{service}/{path...}", e.server("call", e.callEndpoint, decodeCall, encodeCall))
+	mux.Handle("POST /v1/chat/completions", e.customerHandler("chat", e.completionEndpoint, decodeChat, e.encodeCompletion))
+	mux.Handle("POST /v1/completions", e.customerHandler("completion", e.completionEndpoint, decodeText, e.encodeCompletion))
+	mux.Handle("GET /v1/models", e.customerHandler("models", e.modelsEndpoint, decodeNothing, encodeJSON))
+	mux.Handle("/services/{service}/{path...}", e.customerHandler("call", e.callEndpoint, decodeCall, encodeCall))
 	mux.Handle(keelv1connect.NewConfigServiceHandler(e.configServer))
 	e.addOperatorRoutes(mux)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(e.registry, promhttp.HandlerOpts{}))
@@ -138,8 +138,8 @@
 	return mux
 }
 
-// configWait is how long a request waits for an entry's first configuration.
-const configWait = 3 * time.Second
+// configTimeout is how long a request waits for an entry's first configuration.
+const configTimeout = 3 * time.Second
 
 // awaitConfig holds a request back until the entry has a configuration. An
 // entry that has just started knows no customer yet: to answer "no customer
@@ -150,7 +150,7 @@
 		return nil
 	default:
 	}
-	ctx, cancel := context.WithTimeout(ctx, configWait)
+	ctx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
 	select {
 	case <-e.configured:
@@ -169,16 +169,16 @@
 	}
 }
 
-// stopNotice is how long an entry serves on after it has begun to say "not
+// shutdownNotice is how long an entry serves on after it has begun to say "not
 // ready", so that the balancer sends nothing to a closed door.
-const stopNotice = 2 * time.Second
+const shutdownNotice = 2 * time.Second
 
 // Stopping makes the entry tell the balancer that it leaves, and returns once
 // the balancer has had time to notice. Requests are served all the while.
 func (e *Entry) Stopping(ctx context.Context) {
 	e.stopping.Store(true)
 	select {
-	case <-time.After(stopNotice):
+	case <-time.After(shutdownNotice):
 	case <-ctx.Done():
 	}
 	// Requests that only wait for changes end here.
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -26,7 +26,7 @@
 			}
 			return
 		}
-		c := decoded.(*completion)
+		c := decoded.(*completionRequest)
 		if len(c.prompt.Ends) == 0 || c.prompt.Ends[len(c.prompt.Ends)-1] > len(c.prompt.Text) {
 			t.Fatalf("prompt of %d bytes ends at %v", len(c.prompt.Text), c.prompt.Ends)
 		}
--- a/entry/incarnation.go
+++ b/entry/incarnation.go
@@ -10,34 +10,34 @@
 	keelv1 "acaciakeel/api/keel/v1"
 )
 
-// incarnations remembers which process last answered for each target.
-type incarnations struct {
-	mu    sync.Mutex
-	known map[string]string
+// incarnationCache remembers which process last answered for each target.
+type incarnationCache struct {
+	mu       sync.Mutex
+	byTarget map[string]string
 }
 
-func newIncarnations() *incarnations {
-	return &incarnations{known: map[string]string{}}
+func newIncarnationCache() *incarnationCache {
+	return &incarnationCache{byTarget: map[string]string{}}
 }
 
-func (i *incarnations) get(target string) string {
+func (i *incarnationCache) get(target string) string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.known[target]
+	return i.byTarget[target]
 }
 
-func (i *incarnations) set(target, incarnation string) {
+func (i *incarnationCache) set(target, incarnation string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.known[target] = incarnation
+	i.byTarget[target] = incarnation
 }
 
-// of returns the incarnation of a target's agent, asking it the first time.
-func (i *incarnations) of(ctx context.Context, e *Entry, target string) (string, error) {
-	if known := i.get(target); known != "" {
-		return known, nil
+// getOrFetch returns the incarnation getOrFetch a target's agent, asking it the first time.
+func (i *incarnationCache) getOrFetch(ctx context.Context, e *Entry, target string) (string, error) {
+	if cached := i.get(target); cached != "" {
+		return cached, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+	ctx, cancel := context.WithTimeout(ctx, outcomeQueryTimeout)
 	defer cancel()
 	url := e.table.Load().agentURL[target]
 	peer := e.links.Peer(url)
@@ -45,7 +45,7 @@
 	response, err := clients.Agent.Abandon(ctx, connect.NewRequest(&keelv1.AbandonRequest{}))
 	if err != nil {
 		peer.Renew(clients)
-		e.opinions.failed(target)
+		e.health.recordFailure(target)
 		return "", fmt.Errorf("ask for the agent's incarnation: %w", err)
 	}
 	i.set(target, response.Msg.Incarnation)
--- a/entry/openai.go
+++ b/entry/openai.go
@@ -64,9 +64,9 @@
 	return b.String(), nil
 }
 
-// render writes a chat as the prompt that engines get and notes where each
+// renderPrompt writes a chat as the prompt that engines get and notes where each
 // message ends. The question for an answer comes after the last end.
-func render(messages []chatMessage) (prefix.Prompt, error) {
+func renderPrompt(messages []chatMessage) (prefix.Prompt, error) {
 	var p prefix.Prompt
 	for i, m := range messages {
 		text, err := m.text()
@@ -94,8 +94,8 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// answer is a whole answer, or one chunk of a stream.
-type answer struct {
+// completionResponse is a whole completionResponse, or one chunk of a stream.
+type completionResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -19,31 +19,31 @@
 
 // resourceRequest is a decoded request of the resource API.
 type resourceRequest struct {
-	operator Operator
-	kind     resource.Kind
-	name     string
-	change   operator.Change
-	dryRun   bool
-	version  int64
-	after    string
-	afterRev int64
-	wait     time.Duration
+	operator      Operator
+	kind          resource.Kind
+	name          string
+	change        operator.Change
+	dryRun        bool
+	version       int64
+	afterName     string
+	afterRevision int64
+	wait          time.Duration
 }
 
 func (e *Entry) addOperatorRoutes(mux *http.ServeMux) {
-	one := operator.PathResources + "/{kind}/{name}"
-	mux.Handle("GET "+operator.PathResources+"/{kind}", e.operatorServer("list", Reader, e.listEndpoint))
-	mux.Handle("GET "+one, e.operatorServer("get", Reader, e.getEndpoint))
-	mux.Handle("PUT "+one, e.operatorServer("put", Writer, e.putEndpoint))
-	mux.Handle("DELETE "+one, e.operatorServer("delete", Writer, e.deleteEndpoint))
-	mux.Handle("GET "+operator.PathWatch, e.operatorServer("watch", Reader, e.watchEndpoint))
-	mux.Handle("GET "+operator.PathStatus, e.operatorServer("status", Reader, e.statusEndpoint))
+	itemPath := operator.PathResources + "/{kind}/{name}"
+	mux.Handle("GET "+operator.PathResources+"/{kind}", e.operatorHandler("list", RoleReader, e.listEndpoint))
+	mux.Handle("GET "+itemPath, e.operatorHandler("get", RoleReader, e.getEndpoint))
+	mux.Handle("PUT "+itemPath, e.operatorHandler("put", RoleWriter, e.putEndpoint))
+	mux.Handle("DELETE "+itemPath, e.operatorHandler("delete", RoleWriter, e.deleteEndpoint))
+	mux.Handle("GET "+operator.PathWatch, e.operatorHandler("watch", RoleReader, e.watchEndpoint))
+	mux.Handle("GET "+operator.PathStatus, e.operatorHandler("status", RoleReader, e.statusEndpoint))
 }
 
-// operatorServer makes the handler of one operation for operators of a role.
-func (e *Entry) operatorServer(operation string, role Role, ep endpoint.Endpoint) http.Handler {
+// operatorHandler makes the handler of one operation for operators of a role.
+func (e *Entry) operatorHandler(operation string, role Role, ep endpoint.Endpoint) http.Handler {
 	decode := func(ctx context.Context, r *http.Request) (any, error) {
-		o, err := e.operatorOf(r, role)
+		o, err := e.authorizeOperator(r, role)
 		if err != nil {
 			return nil, err
 		}
@@ -55,13 +55,13 @@
 	return kithttp.NewServer(ep, decode, encodeJSON, e.serverOptions(operation)...)
 }
 
-func (e *Entry) operatorOf(r *http.Request, role Role) (Operator, error) {
+func (e *Entry) authorizeOperator(r *http.Request, role Role) (Operator, error) {
 	hash := HashKey(bearerKey(r))
 	for _, o := range e.settings.Operators {
 		if o.KeyHash != hash {
 			continue
 		}
-		if role == Writer && o.Role != Writer {
+		if role == RoleWriter && o.Role != RoleWriter {
 			return o, refusal.New(refusal.Forbidden, "use the key of an operator with role writer", "operator %s may only read", o.Name)
 		}
 		return o, nil
@@ -72,19 +72,19 @@
 func (e *Entry) decodeResource(r *http.Request, o Operator) (any, error) {
 	query := r.URL.Query()
 	req := resourceRequest{
-		operator: o,
-		kind:     resource.Kind(r.PathValue("kind")),
-		name:     r.PathValue("name"),
-		dryRun:   query.Get("dry_run") == "true",
-		after:    query.Get("after"),
+		operator:  o,
+		kind:      resource.Kind(r.PathValue("kind")),
+		name:      r.PathValue("name"),
+		dryRun:    query.Get("dry_run") == "true",
+		afterName: query.Get("after"),
 	}
 	if req.kind != "" && !slices.Contains(resource.Kinds(), req.kind) {
 		return nil, refusal.New(refusal.BadRequest, "use model, service, preference, customer or target", "there is no kind %q", req.kind)
 	}
 	req.version, _ = strconv.ParseInt(query.Get("version"), 10, 64)
-	req.afterRev, _ = strconv.ParseInt(query.Get("after"), 10, 64)
+	req.afterRevision, _ = strconv.ParseInt(query.Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(query.Get("wait_ms"))
-	req.wait = min(time.Duration(wait)*time.Millisecond, maxOperatorWait)
+	req.wait = min(time.Duration(wait)*time.Millisecond, maxWatchWait)
 	if r.Method == http.MethodPut {
 		r.Body = http.MaxBytesReader(nil, r.Body, maxResourceBytes)
 		if err := decodeBody(r, &req.change); err != nil {
@@ -97,7 +97,7 @@
 // Bounds of the resource API.
 const (
 	maxResourceBytes = 256 << 10
-	maxOperatorWait  = 30 * time.Second
+	maxWatchWait     = 30 * time.Second
 	pageSize         = 200
 )
 
@@ -115,7 +115,7 @@
 	snapshot := e.table.Load().snapshot()
 	list := operator.List{Revision: snapshot.Revision, Items: []resource.Resource{}}
 	for _, r := range snapshot.Resources {
-		if r.Kind == req.kind && r.Name > req.after {
+		if r.Kind == req.kind && r.Name > req.afterName {
 			list.Items = append(list.Items, r)
 		}
 	}
@@ -140,14 +140,14 @@
 		case <-ctx.Done():
 		}
 	}()
-	if err := e.follower.Await(ctx, req.afterRev+1); err != nil && ctx.Err() == nil {
+	if err := e.follower.Await(ctx, req.afterRevision+1); err != nil && ctx.Err() == nil {
 		return nil, err
 	}
 	snapshot := e.follower.State().Snapshot
-	if snapshot.Revision <= req.afterRev {
-		return resource.Delta{Base: req.afterRev, Revision: req.afterRev}, nil
+	if snapshot.Revision <= req.afterRevision {
+		return resource.Delta{Base: req.afterRevision, Revision: req.afterRevision}, nil
 	}
-	return snapshot.Since(req.afterRev), nil
+	return snapshot.Since(req.afterRevision), nil
 }
 
 // putEndpoint accepts a change: checked, then written by compare-and-swap.
@@ -173,13 +173,13 @@
 	if req.dryRun {
 		return r, nil
 	}
-	version, err := e.write(ctx, r)
+	version, err := e.writeResource(ctx, r)
 	e.audit(req, "put", version, err)
 	if err != nil {
 		return nil, err
 	}
 	r.Version = version
-	e.awaitHere(ctx, version)
+	e.awaitApplied(ctx, version)
 	return r, nil
 }
 
@@ -189,21 +189,21 @@
 		return nil, refusal.New(refusal.InvalidResource, "delete or change those first", "%v", err)
 	}
 	key := resource.Key(req.kind, req.name)
-	revision, err := e.remove(ctx, key, req.version)
+	revision, err := e.deleteKey(ctx, key, req.version)
 	e.audit(req, "delete", revision, err)
 	if err != nil {
 		return nil, err
 	}
-	e.awaitHere(ctx, revision)
+	e.awaitApplied(ctx, revision)
 	return resource.Deletion{Key: key, Revision: revision}, nil
 }
 
-// awaitHereFor is how long an accepted change may take until this entry
+// maxApplyWait is how long an accepted change may take until this entry
 // itself reads it back; after that the answer goes out all the same.
-const awaitHereFor = time.Second
+const maxApplyWait = time.Second
 
-func (e *Entry) awaitHere(ctx context.Context, revision int64) {
-	ctx, cancel := context.WithTimeout(ctx, awaitHereFor)
+func (e *Entry) awaitApplied(ctx context.Context, revision int64) {
+	ctx, cancel := context.WithTimeout(ctx, maxApplyWait)
 	defer cancel()
 	e.follower.Hint(revision)
 	_ = e.follower.Await(ctx, revision)
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -44,19 +44,19 @@
 
 // resumeSession goes on with a stream that another entry began. Only the
 // agent of the attempt has its text, so there is no other runner to go on at.
-func (e *Entry) resumeSession(ctx context.Context, p *plan, point resumePoint) (*session, *refusal.Error) {
+func (e *Entry) resumeSession(ctx context.Context, m *modelRequest, point resumePoint) (*session, *refusal.Error) {
 	url, ok := e.table.Load().agentURL[point.target]
 	if !ok {
 		return nil, refusal.New(refusal.ResumeUnavailable, "send the request again without Last-Event-ID",
 			"target %q of the stream is not configured", point.target)
 	}
-	p.requestID = point.requestID
-	s := &session{entry: e, plan: p, attempt: point.attempt, events: make(chan event, eventBuffer)}
-	s.target = chosen{name: point.target, url: url}
+	m.requestID = point.requestID
+	s := &session{entry: e, request: m, attempt: point.attempt, events: make(chan streamEvent, eventBuffer)}
+	s.target = chosenTarget{name: point.target, url: url}
 	s.assembler.ResumeAt(point.attempt, point.base, point.offset+1)
 	a := &attempt{entry: e, session: s, number: point.attempt, target: s.target}
-	a.request = &keelv1.GenerateRequest{RequestId: p.requestID, Customer: p.customer}
-	a.request = a.reattach()
+	a.request = &keelv1.GenerateRequest{RequestId: m.requestID, Customer: m.customer}
+	a.request = a.newReattachRequest()
 	go func() {
 		defer close(s.events)
 		s.err = a.run(ctx)
--- a/entry/session.go
+++ b/entry/session.go
@@ -14,8 +14,8 @@
 	"acaciakeel/stream"
 )
 
-// plan is a model request after decoding: what to run, for whom.
-type plan struct {
+// modelRequest is a model request after decoding: what to run, for whom.
+type modelRequest struct {
 	requestID  string
 	customer   string
 	contract   resource.Customer
@@ -33,7 +33,7 @@
 	resumable bool
 }
 
-func (p *plan) salt() string {
+func (p *modelRequest) cacheSalt() string {
 	return prefix.Salt{
 		Customer:       p.customer,
 		Model:          p.model,
@@ -42,8 +42,8 @@
 	}.String()
 }
 
-// event is one thing that a caller's stream consists of: a token, or the end.
-type event struct {
+// streamEvent is one thing that a caller's stream consists of: a token, or the end.
+type streamEvent struct {
 	offset int
 	text   string
 	// id lets the caller resume after this event.
@@ -54,18 +54,18 @@
 // session carries one model request to its end, over as many attempts,
 // connections and runners as that takes.
 type session struct {
-	entry     *Entry
-	plan      *plan
-	assembler stream.Assembler
-	sent      []byte
-	attempt   uint32
-	sends     int
-	tried     []string
-	target    chosen
-	// waitedFor is how long the stream has waited for any runner.
-	waitedFor time.Duration
-	events    chan event
-	err       *refusal.Error
+	entry        *Entry
+	request      *modelRequest
+	assembler    stream.Assembler
+	sentText     []byte
+	attempt      uint32
+	attemptCount int
+	triedTargets []string
+	target       chosenTarget
+	// runnerWait is how long the stream has waited for any runner.
+	runnerWait time.Duration
+	events     chan streamEvent
+	err        *refusal.Error
 }
 
 // eventBuffer is how many events may wait for a slow caller.
@@ -73,8 +73,8 @@
 
 // startSession begins to run a plan. Events come on its channel, which closes
 // at the end; then err says why a stream broke off, if it did.
-func (e *Entry) startSession(ctx context.Context, p *plan) *session {
-	s := &session{entry: e, plan: p, events: make(chan event, eventBuffer)}
+func (e *Entry) startSession(ctx context.Context, m *modelRequest) *session {
+	s := &session{entry: e, request: m, events: make(chan streamEvent, eventBuffer)}
 	go func() {
 		defer close(s.events)
 		s.err = s.run(ctx)
@@ -86,62 +86,62 @@
 // broke off is continued at another runner from the prompt and what was sent,
 // so that only what no cache holds is computed again.
 func (s *session) run(ctx context.Context) *refusal.Error {
-	s.entry.budget.request(s.plan.customer)
+	s.entry.retryBudgets.recordRequest(s.request.customer)
 	for {
-		refused := s.attemptOnce(ctx)
+		refused := s.runAttempt(ctx)
 		if refused == nil {
 			return nil
 		}
 		if ctx.Err() != nil {
-			if ending := endingOf(ctx); ending != nil {
-				return ending
+			if shutdown := shutdownRefusal(ctx); shutdown != nil {
+				return shutdown
 			}
 			return refusal.New(refusal.Canceled, "nothing", "the caller left")
 		}
-		if len(s.sent) > 0 && refused.Outcome == refusal.NotRun {
+		if len(s.sentText) > 0 && refused.Outcome == refusal.NotRun {
 			// The stream as a whole did run.
 			refused.Outcome = refusal.Unknown
 		}
-		if s.mayAwait(refused) {
-			if !s.awaitRunner(ctx) {
+		if s.canWaitForRunner(refused) {
+			if !s.waitForRunner(ctx) {
 				return refused
 			}
 			continue
 		}
-		if !retry.Allowed(refused, true, s.sends) {
+		if !retry.Allowed(refused, true, s.attemptCount) {
 			return refused
 		}
-		if !s.entry.budget.take(s.plan.customer) {
-			s.entry.metrics.budgetSpent.Inc()
+		if !s.entry.retryBudgets.take(s.request.customer) {
+			s.entry.metrics.retryBudgetExhausted.Inc()
 			return refused
 		}
-		s.entry.metrics.retries.WithLabelValues(string(retryReason(refused, len(s.sent)))).Inc()
+		s.entry.metrics.retries.WithLabelValues(string(retryReason(refused, len(s.sentText)))).Inc()
 	}
 }
 
 // Waiting for a runner in mid-stream.
 const (
-	awaitRunnerFor   = 10 * time.Second
-	awaitRunnerPause = 200 * time.Millisecond
+	maxRunnerWait   = 10 * time.Second
+	runnerWaitPause = 200 * time.Millisecond
 )
 
-// mayAwait reports whether a stream that has begun should wait for a runner
+// canWaitForRunner reports whether a stream that has begun should wait for a runner
 // to come back. The caller has its first part and reads on; a request of
 // which nothing was sent yet is refused at once instead.
-func (s *session) mayAwait(refused *refusal.Error) bool {
-	return len(s.sent) > 0 && refused.Kind == refusal.NoTarget
+func (s *session) canWaitForRunner(refused *refusal.Error) bool {
+	return len(s.sentText) > 0 && refused.Kind == refusal.NoTarget
 }
 
-// awaitRunner waits a little, and forgets which runners were tried: one that
+// waitForRunner waits a little, and forgets which runners were tried: one that
 // crashed may be back. It reports false once the stream has waited too long.
-func (s *session) awaitRunner(ctx context.Context) bool {
-	if s.waitedFor >= awaitRunnerFor {
+func (s *session) waitForRunner(ctx context.Context) bool {
+	if s.runnerWait >= maxRunnerWait {
 		return false
 	}
-	s.waitedFor += awaitRunnerPause
-	s.tried = nil
+	s.runnerWait += runnerWaitPause
+	s.triedTargets = nil
 	select {
-	case <-time.After(awaitRunnerPause):
+	case <-time.After(runnerWaitPause):
 	case <-ctx.Done():
 	}
 	return true
@@ -159,53 +159,53 @@
 	return retry.Interrupted
 }
 
-// attemptOnce makes one attempt with the weights that the model serves now; a
+// runAttempt makes one attempt with the weights that the model serves now; a
 // stream that has begun keeps its own while any runner has them.
-func (s *session) attemptOnce(ctx context.Context) *refusal.Error {
-	p := s.plan
-	if len(s.sent) == 0 {
-		p.weights = s.entry.rollouts.serving(p, s.entry.table.Load().snapshot())
+func (s *session) runAttempt(ctx context.Context) *refusal.Error {
+	m := s.request
+	if len(s.sentText) == 0 {
+		m.weights = s.entry.rollouts.servingVersion(m, s.entry.table.Load().snapshot())
 	}
-	refused := s.send(ctx)
-	if refused == nil || refused.Kind != refusal.NoTarget || p.weights == p.spec.WeightsVersion {
+	refused := s.runAttemptWithWeights(ctx)
+	if refused == nil || refused.Kind != refusal.NoTarget || m.weights == m.spec.WeightsVersion {
 		return refused
 	}
 	// No runner has the previous weights any more. Forward is the only way:
 	// no request moves to older ones.
-	p.weights = p.spec.WeightsVersion
-	return s.send(ctx)
+	m.weights = m.spec.WeightsVersion
+	return s.runAttemptWithWeights(ctx)
 }
 
-// send makes an attempt with the plan's weights.
-func (s *session) send(ctx context.Context) *refusal.Error {
-	p := s.plan
-	prompt := prefix.Prompt{Text: append(p.prompt.Text[:len(p.prompt.Text):len(p.prompt.Text)], s.sent...), Ends: p.prompt.Ends}
-	salt := p.salt()
-	chain := prefix.NewChain(salt, prompt, p.spec.BlockTokens, p.spec.PieceTokens)
-	target, refused := s.entry.choose(ctx, question{
-		customer:   p.customer,
-		priority:   *p.contract.Priority,
-		model:      p.model,
-		weights:    p.weights,
+// runAttemptWithWeights makes an attempt with the plan's weights.
+func (s *session) runAttemptWithWeights(ctx context.Context) *refusal.Error {
+	m := s.request
+	prompt := prefix.Prompt{Text: append(m.prompt.Text[:len(m.prompt.Text):len(m.prompt.Text)], s.sentText...), Ends: m.prompt.Ends}
+	salt := m.cacheSalt()
+	chain := prefix.NewChain(salt, prompt, m.spec.BlockTokens, m.spec.PieceTokens)
+	target, refused := s.entry.chooseTarget(ctx, placementQuery{
+		customer:   m.customer,
+		priority:   *m.contract.Priority,
+		model:      m.model,
+		weights:    m.weights,
 		root:       prefix.Root(salt),
 		chain:      chain,
-		preference: p.preference,
-		tried:      s.tried,
+		preference: m.preference,
+		excluded:   s.triedTargets,
 	})
 	if refused != nil {
 		return refused
 	}
 	s.target = target
 	s.attempt++
-	s.sends++
-	s.tried = append(s.tried, target.name)
+	s.attemptCount++
+	s.triedTargets = append(s.triedTargets, target.name)
 	s.assembler.Begin(s.attempt)
 	return s.entry.newAttempt(s, prompt.Text, chain, salt).run(ctx)
 }
 
-// take passes one token on, once and in order, and reports whether the
+// acceptToken passes one token on, once and in order, and reports whether the
 // connection that it came over is still to be believed.
-func (s *session) take(ctx context.Context, attempt uint32, t *keelv1.Token) bool {
+func (s *session) acceptToken(ctx context.Context, attempt uint32, t *keelv1.Token) bool {
 	verdict := s.assembler.Take(attempt, int(t.Offset))
 	switch verdict {
 	case stream.Next:
@@ -216,15 +216,15 @@
 		s.entry.metrics.streamEvents.WithLabelValues(string(verdict)).Inc()
 		return true
 	}
-	s.sent = append(s.sent, t.Text...)
+	s.sentText = append(s.sentText, t.Text...)
 	offset := s.assembler.Offset() - 1
-	s.emit(ctx, event{offset: offset, text: t.Text, id: s.eventID(offset)})
+	s.emit(ctx, streamEvent{offset: offset, text: t.Text, id: s.eventID(offset)})
 	return true
 }
 
 func (s *session) eventID(offset int) string {
 	return resumePoint{
-		requestID: s.plan.requestID,
+		requestID: s.request.requestID,
 		attempt:   s.attempt,
 		target:    s.target.name,
 		base:      s.assembler.Offset() - s.assembler.Resume(),
@@ -232,21 +232,21 @@
 	}.String()
 }
 
-func (s *session) emit(ctx context.Context, e event) {
+func (s *session) emit(ctx context.Context, e streamEvent) {
 	select {
 	case s.events <- e:
 	case <-ctx.Done():
 	}
 }
 
-// finish passes the end on.
-func (s *session) finish(ctx context.Context, f *keelv1.Finish) {
-	s.emit(ctx, event{
+// emitFinish passes the end on.
+func (s *session) emitFinish(ctx context.Context, f *keelv1.Finish) {
+	s.emit(ctx, streamEvent{
 		offset: s.assembler.Offset(),
 		id:     s.eventID(s.assembler.Offset()),
 		finish: &stream.Finish{
 			Reason:           f.Reason,
-			PromptTokens:     prefix.TokenCount(len(s.plan.prompt.Text)),
+			PromptTokens:     prefix.TokenCount(len(s.request.prompt.Text)),
 			CachedTokens:     int(f.CachedTokens),
 			CompletionTokens: s.assembler.Offset(),
 			WeightsVersion:   f.WeightsVersion,
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -52,8 +52,8 @@
 
 // The roles of operators.
 const (
-	Reader Role = "reader"
-	Writer Role = "writer"
+	RoleReader Role = "reader"
+	RoleWriter Role = "writer"
 )
 
 // Operator is one operator's key.
@@ -105,7 +105,7 @@
 	if raw, err := hex.DecodeString(o.KeyHash); err != nil || len(raw) != keyHashBytes {
 		ps.Add("operator.key_hash", "use the 64 hex digits that `keelctl hash-key` prints", "%q", o.KeyHash)
 	}
-	if o.Role != Reader && o.Role != Writer {
+	if o.Role != RoleReader && o.Role != RoleWriter {
 		ps.Add("operator.role", "use reader or writer", "%q", o.Role)
 	}
 }
--- a/entry/status.go
+++ b/entry/status.go
@@ -23,29 +23,29 @@
 	s := operator.Status{
 		Entry:    e.settings.Self.Name,
 		Revision: t.snapshot().Revision,
-		InForce:  e.inForce(ctx, t),
+		InForce:  e.appliedRevisions(ctx, t),
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.snapshot().Targets)) {
 		spec := t.snapshot().Targets[name]
-		load, _ := e.opinions.load(name, 1)
+		load, _ := e.health.load(name, 1)
 		s.Targets = append(s.Targets, operator.TargetStatus{
 			Name:       name,
 			Serves:     spec.Model + spec.Service,
 			DataCentre: spec.DataCentre,
-			State:      string(e.opinions.state(name)),
-			Leaving:    isLeaving(t.state, name),
+			State:      string(e.health.state(name)),
+			Leaving:    isDraining(t.state, name),
 			Inflight:   load,
 		})
 	}
 	return s, nil
 }
 
-// inForce asks every listed process for its revision. A process that does not
+// appliedRevisions asks every listed process for its revision. A process that does not
 // answer is given as -1.
-func (e *Entry) inForce(ctx context.Context, t *table) map[string]int64 {
+func (e *Entry) appliedRevisions(ctx context.Context, t *routingTable) map[string]int64 {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	found := map[string]int64{e.settings.Self.Name: t.snapshot().Revision}
+	revisions := map[string]int64{e.settings.Self.Name: t.snapshot().Revision}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, v := range t.state.VMs {
@@ -53,23 +53,23 @@
 			continue
 		}
 		wg.Go(func() {
-			revision := e.revisionOf(ctx, v.URL)
+			revision := e.fetchRevision(ctx, v.URL)
 			mu.Lock()
 			defer mu.Unlock()
-			found[v.Name] = revision
+			revisions[v.Name] = revision
 		})
 	}
 	wg.Wait()
-	return found
+	return revisions
 }
 
-const unanswered = -1
+const unknownRevision = -1
 
-func (e *Entry) revisionOf(ctx context.Context, url string) int64 {
+func (e *Entry) fetchRevision(ctx context.Context, url string) int64 {
 	req := connect.NewRequest(&keelv1.FetchRequest{RevisionOnly: true})
 	response, err := e.links.Peer(url).Clients().Config.Fetch(ctx, req)
 	if err != nil {
-		return unanswered
+		return unknownRevision
 	}
 	return int64(response.Msg.Revision)
 }
--- a/entry/table.go
+++ b/entry/table.go
@@ -11,9 +11,9 @@
 	"acaciakeel/resource"
 )
 
-// table is what routing needs of one State, worked out once when it changes.
+// routingTable is what routing needs of one State, worked out once when it changes.
 // It is immutable.
-type table struct {
+type routingTable struct {
 	state    *configsync.State
 	models   map[string]*runnerSet
 	agentURL map[string]string
@@ -24,8 +24,8 @@
 	runners []placement.Runner
 }
 
-func newTable(state *configsync.State) *table {
-	t := &table{state: state, models: map[string]*runnerSet{}, agentURL: map[string]string{}}
+func newRoutingTable(state *configsync.State) *routingTable {
+	t := &routingTable{state: state, models: map[string]*runnerSet{}, agentURL: map[string]string{}}
 	for name, spec := range state.Snapshot.Targets {
 		t.agentURL[name] = spec.AgentURL
 	}
@@ -39,100 +39,100 @@
 	set := &runnerSet{}
 	for _, name := range names {
 		spec := state.Snapshot.Targets[name]
-		leaving := isLeaving(state, name)
-		set.runners = append(set.runners, placement.NewRunner(name, spec.DataCentre, spec.Region, leaving))
+		draining := isDraining(state, name)
+		set.runners = append(set.runners, placement.NewRunner(name, spec.DataCentre, spec.Region, draining))
 	}
 	return set
 }
 
-// isLeaving reports whether the operator or the platform's list takes a
+// isDraining reports whether the operator or the platform's list takes a
 // target out of new work.
-func isLeaving(state *configsync.State, target string) bool {
+func isDraining(state *configsync.State, target string) bool {
 	spec := state.Snapshot.Targets[target]
 	return spec.Leaving || state.Leaving(cmp.Or(spec.VM, target))
 }
 
-func (t *table) snapshot() *resource.Snapshot {
+func (t *routingTable) snapshot() *resource.Snapshot {
 	return t.state.Snapshot
 }
 
-// opinions holds the entry's opinion of each target.
-type opinions struct {
+// healthTable holds the entry's opinion of each target.
+type healthTable struct {
 	mu      sync.Mutex
-	targets map[string]*opinion
+	targets map[string]*targetHealth
 }
 
-type opinion struct {
+type targetHealth struct {
 	health   health.Tracker
 	inflight int
 }
 
-func newOpinions() *opinions {
-	return &opinions{targets: map[string]*opinion{}}
+func newHealthTable() *healthTable {
+	return &healthTable{targets: map[string]*targetHealth{}}
 }
 
-func (o *opinions) of(name string) *opinion {
+func (o *healthTable) target(name string) *targetHealth {
 	if o.targets[name] == nil {
-		o.targets[name] = &opinion{}
+		o.targets[name] = &targetHealth{}
 	}
 	return o.targets[name]
 }
 
-func (o *opinions) failed(name string) {
+func (o *healthTable) recordFailure(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.of(name).health.RecordFailure(time.Now())
+	o.target(name).health.RecordFailure(time.Now())
 }
 
-func (o *opinions) succeeded(name string) {
+func (o *healthTable) recordSuccess(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.of(name).health.RecordSuccess()
+	o.target(name).health.RecordSuccess()
 }
 
-func (o *opinions) usable(name string) bool {
+func (o *healthTable) allowRequest(name string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.of(name).health.AllowRequest(time.Now())
+	return o.target(name).health.AllowRequest(time.Now())
 }
 
-func (o *opinions) penalty(name string) time.Duration {
+func (o *healthTable) penalty(name string) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.of(name).health.Penalty(time.Now())
+	return o.target(name).health.Penalty(time.Now())
 }
 
-func (o *opinions) state(name string) health.State {
+func (o *healthTable) state(name string) health.State {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.of(name).health.State(time.Now())
+	return o.target(name).health.State(time.Now())
 }
 
-func (o *opinions) begin(name string) {
+func (o *healthTable) beginAttempt(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.of(name).inflight++
+	o.target(name).inflight++
 }
 
-func (o *opinions) end(name string) {
+func (o *healthTable) endAttempt(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.of(name).inflight--
+	o.target(name).inflight--
 }
 
 // load returns the requests of this entry that run at a target, and their mean.
-func (o *opinions) load(name string, all int) (int, float64) {
+func (o *healthTable) load(name string, targetCount int) (int, float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	sum := 0
 	for _, other := range o.targets {
 		sum += other.inflight
 	}
-	return o.of(name).inflight, float64(sum) / float64(max(1, all))
+	return o.target(name).inflight, float64(sum) / float64(max(1, targetCount))
 }
 
-// keep forgets targets that are no longer configured.
-func (o *opinions) keep(names map[string]string) {
+// retain forgets targets that are no longer configured.
+func (o *healthTable) retain(names map[string]string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for name, have := range o.targets {
--- a/entry/transport.go
+++ b/entry/transport.go
@@ -27,18 +27,18 @@
 	return strconv.Itoa(n)
 }
 
-// caller is who sent a request.
-type caller struct {
+// requestInfo is who sent a request.
+type requestInfo struct {
 	requestID string
 	received  time.Time
-	name      string
+	customer  string
 	contract  resource.Customer
 }
 
 type contextKey int
 
 const (
-	callerKey contextKey = iota
+	requestInfoKey contextKey = iota
 	operationKey
 )
 
@@ -48,12 +48,12 @@
 	headerDeadline    = "X-Deadline-Ms"
 	headerLastEvent   = "Last-Event-ID"
 	headerIdempotency = "Idempotency-Key"
-	bearer            = "Bearer "
+	bearerPrefix      = "Bearer "
 )
 
-// server makes the HTTP handler of one operation of callers.
-func (e *Entry) server(operation string, ep endpoint.Endpoint, decode kithttp.DecodeRequestFunc, encode kithttp.EncodeResponseFunc) http.Handler {
-	return kithttp.NewServer(ep, e.authenticated(decode), encode, e.serverOptions(operation)...)
+// customerHandler makes the HTTP handler of one operation of callers.
+func (e *Entry) customerHandler(operation string, ep endpoint.Endpoint, decode kithttp.DecodeRequestFunc, encode kithttp.EncodeResponseFunc) http.Handler {
+	return kithttp.NewServer(ep, e.authenticate(decode), encode, e.serverOptions(operation)...)
 }
 
 // serverOptions give a request its id, its errors their format and its end a
@@ -63,37 +63,37 @@
 		kithttp.ServerBefore(func(ctx context.Context, _ *http.Request) context.Context {
 			id := uuid.Must(uuid.NewV7()).String()
 			ctx = context.WithValue(ctx, operationKey, operation)
-			return context.WithValue(ctx, callerKey, caller{requestID: id, received: time.Now()})
+			return context.WithValue(ctx, requestInfoKey, requestInfo{requestID: id, received: time.Now()})
 		}),
 		kithttp.ServerErrorEncoder(e.encodeError),
 		kithttp.ServerFinalizer(e.logRequest),
 	}
 }
 
-func callerOf(ctx context.Context) caller {
-	c, _ := ctx.Value(callerKey).(caller)
+func requestInfoFrom(ctx context.Context) requestInfo {
+	c, _ := ctx.Value(requestInfoKey).(requestInfo)
 	return c
 }
 
-// authenticated finds the customer before anything of the body is read.
-func (e *Entry) authenticated(decode kithttp.DecodeRequestFunc) kithttp.DecodeRequestFunc {
+// authenticate finds the customer before anything of the body is read.
+func (e *Entry) authenticate(decode kithttp.DecodeRequestFunc) kithttp.DecodeRequestFunc {
 	return func(ctx context.Context, r *http.Request) (any, error) {
 		if err := e.awaitConfig(ctx); err != nil {
 			return nil, err
 		}
-		c := callerOf(ctx)
-		name, spec, ok := e.table.Load().snapshot().CustomerByKeyHash(HashKey(bearerKey(r)))
+		c := requestInfoFrom(ctx)
+		customer, spec, ok := e.table.Load().snapshot().CustomerByKeyHash(HashKey(bearerKey(r)))
 		if !ok {
 			return nil, refusal.New(refusal.Unauthorized, "send a customer's key as 'Authorization: Bearer KEY'", "no customer has this key")
 		}
-		c.name, c.contract = name, spec
+		c.customer, c.contract = customer, spec
 		r.Body = http.MaxBytesReader(nil, r.Body, e.settings.Limits.BodyBytes)
-		return decode(context.WithValue(ctx, callerKey, c), r)
+		return decode(context.WithValue(ctx, requestInfoKey, c), r)
 	}
 }
 
 func bearerKey(r *http.Request) string {
-	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), bearer)
+	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	return key
 }
 
@@ -111,8 +111,8 @@
 	return refusal.New(refusal.BadRequest, "send JSON in OpenAI's format", "the body can't be read: %v", err)
 }
 
-func decodeBody(r *http.Request, into any) error {
-	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
+func decodeBody(r *http.Request, out any) error {
+	if err := json.NewDecoder(r.Body).Decode(out); err != nil {
 		return bodyError(err)
 	}
 	return nil
@@ -126,11 +126,11 @@
 	if len(body.Messages) == 0 {
 		return nil, refusal.New(refusal.BadRequest, "send at least one message", "messages is empty")
 	}
-	prompt, err := render(body.Messages)
+	prompt, err := renderPrompt(body.Messages)
 	if err != nil {
 		return nil, refusal.New(refusal.BadRequest, "send text messages in OpenAI's format", "%v", err)
 	}
-	c := &completion{chat: true, model: body.Model, prompt: prompt, stream: body.Stream, withUsage: body.StreamOptions.IncludeUsage}
+	c := &completionRequest{isChat: true, model: body.Model, prompt: prompt, stream: body.Stream, includeUsage: body.StreamOptions.IncludeUsage}
 	c.maxTokens = body.MaxCompletionTokens
 	if c.maxTokens == nil {
 		c.maxTokens = body.MaxTokens
@@ -146,18 +146,18 @@
 	if body.Prompt == "" {
 		return nil, refusal.New(refusal.BadRequest, "send a prompt", "prompt is empty")
 	}
-	c := &completion{
-		model:     body.Model,
-		prompt:    prefix.Prompt{Text: []byte(body.Prompt)},
-		maxTokens: body.MaxTokens,
-		stream:    body.Stream,
-		withUsage: body.StreamOptions.IncludeUsage,
+	c := &completionRequest{
+		model:        body.Model,
+		prompt:       prefix.Prompt{Text: []byte(body.Prompt)},
+		maxTokens:    body.MaxTokens,
+		stream:       body.Stream,
+		includeUsage: body.StreamOptions.IncludeUsage,
 	}
 	return c, c.fromHeaders(ctx, r)
 }
 
-func (c *completion) fromHeaders(ctx context.Context, r *http.Request) error {
-	c.caller = callerOf(ctx)
+func (c *completionRequest) fromHeaders(ctx context.Context, r *http.Request) error {
+	c.info = requestInfoFrom(ctx)
 	c.lastEventID = r.Header.Get(headerLastEvent)
 	raw := r.Header.Get(headerDeadline)
 	if raw == "" {
@@ -176,13 +176,13 @@
 	r := refusal.From(err)
 	e.metrics.refusals.WithLabelValues(string(r.Kind)).Inc()
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set(headerRequestID, callerOf(ctx).requestID)
+	w.Header().Set(headerRequestID, requestInfoFrom(ctx).requestID)
 	if r.RetryAfter > 0 {
 		w.Header().Set("Retry-After", itoa(int(math.Ceil(r.RetryAfter.Seconds()))))
 		w.Header().Set("Retry-After-Ms", itoa(int(r.RetryAfter.Milliseconds())))
 	}
 	w.WriteHeader(r.Status())
-	_ = json.NewEncoder(w).Encode(newErrorBody(r, callerOf(ctx).requestID))
+	_ = json.NewEncoder(w).Encode(newErrorBody(r, requestInfoFrom(ctx).requestID))
 }
 
 func newErrorBody(r *refusal.Error, requestID string) errorBody {
@@ -210,7 +210,7 @@
 
 // logRequest writes one line for each request.
 func (e *Entry) logRequest(ctx context.Context, code int, r *http.Request) {
-	c := callerOf(ctx)
+	c := requestInfoFrom(ctx)
 	operation, _ := ctx.Value(operationKey).(string)
 	e.metrics.requests.WithLabelValues(operation, itoa(code)).Inc()
 	e.log.WithFields(map[string]any{
