--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -16,7 +16,8 @@
 	"acaciakeel/settings"
 )
 
-// attempt is one try at one target, over one or more connections.
+// attempt is one execution of a request at one target, read over one or more
+// connections.
 type attempt struct {
 	entry   *Entry
 	session *session
@@ -25,8 +26,9 @@
 	request *keelv1.GenerateRequest
 }
 
-// Bounds of resuming one attempt at its agent. A lost connection costs one of
-// reattachBudget, a silent one silentConnectionCost, since it has taken long already.
+// Limits of resuming one attempt at its agent. A lost connection costs 1 of
+// reattachBudget, a silent one silentConnectionCost, because detecting the silence
+// has already taken time.
 const (
 	reattachBudget       = 4
 	silentConnectionCost = 2
@@ -59,8 +61,8 @@
 	return &attempt{entry: e, session: s, number: s.attempt, target: s.target, request: req}
 }
 
-// run reads the attempt's stream to its end, resuming it on new connections
-// while the agent has it. A nil result means that the end was passed on.
+// run reads the attempt's stream to its end and resumes it on new connections while
+// the agent holds it. A nil result means that the final event was forwarded.
 func (a *attempt) run(ctx context.Context) *refusal.Error {
 	e := a.entry
 	e.health.beginAttempt(a.target.name)
@@ -93,9 +95,9 @@
 	}
 }
 
-// handleClientGone cancels the attempt, unless its caller can come back for it with
-// the id of the last event; then the agent ends it once its time for unread
-// streams is over.
+// handleClientGone cancels the attempt, unless the client can resume it with the id
+// of the last event. In that case the agent ends it after its time limit for unread
+// streams.
 func (a *attempt) handleClientGone() {
 	if a.session.request.resumable && a.session.assembler.Offset() > 0 {
 		return
@@ -103,7 +105,7 @@
 	go a.entry.abandon(a.target.url, a.request.Customer, a.request.RequestId, a.number)
 }
 
-// recordTargetHealth forms the entry's opinion of the target from how an attempt ended.
+// recordTargetHealth updates the target's health from the result of an attempt.
 func (a *attempt) recordTargetHealth(refused *refusal.Error) {
 	switch {
 	case refused == nil:
@@ -113,7 +115,7 @@
 	}
 }
 
-// newReattachRequest returns the request that goes on reading this attempt.
+// newReattachRequest returns the request that resumes reading this attempt.
 func (a *attempt) newReattachRequest() *keelv1.GenerateRequest {
 	return &keelv1.GenerateRequest{
 		RequestId:  a.request.RequestId,
@@ -132,9 +134,9 @@
 	peer := a.entry.links.Peer(a.target.url)
 	clients := peer.Clients()
 	silenceTimeout := settings.Millis(a.entry.settings.Routing.SilenceMS)
-	// A connection can go silent for good without an error, when something
-	// between its ends has lost track of it. Heartbeats come several times
-	// within the bound, so only a silent connection or a dead agent meets it.
+	// A connection can become silent without an error, for example when a device in
+	// between drops its state. Agents send several heartbeats within the time-out, so
+	// it expires only on a broken connection or a dead agent.
 	watchdog := time.AfterFunc(silenceTimeout, func() { cancel(errSilentConnection) })
 	defer watchdog.Stop()
 	responses, err := clients.Agent.Generate(ctx, connect.NewRequest(request))
@@ -143,7 +145,7 @@
 	}
 	defer responses.Close()
 	for responses.Receive() {
-		// A slow caller must not look like a silent agent.
+		// Time spent on a slow client must not count as silence of the agent.
 		watchdog.Stop()
 		switch event := responses.Msg().Event.(type) {
 		case *keelv1.GenerateResponse_Token:
@@ -167,8 +169,8 @@
 	errConnectionEnded  = errors.New("the connection ended before the stream")
 )
 
-// connectionLost replaces the link: whatever made this connection fail or go
-// silent may hold the others that share it.
+// connectionLost replaces the link, since the same fault may affect the other
+// requests that share it.
 func (a *attempt) connectionLost(ctx context.Context, peer *link.Peer, clients *link.Clients, err error) (*refusal.Error, error) {
 	if cause := context.Cause(ctx); errors.Is(cause, errSilentConnection) {
 		err = cause
@@ -187,7 +189,7 @@
 	return r, err
 }
 
-// isDialError reports whether no connection could be made, so that nothing was sent.
+// isDialError reports whether the connection could not be made, so that nothing was sent.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -15,7 +15,8 @@
 	customers   map[string]*retry.Budget
 }
 
-// Floors keep a few retries a second possible where requests are few.
+// Retries per second that are allowed regardless of the ratio, so that retries remain
+// possible at low request rates.
 const (
 	entryRetriesPerSecond    = 2.0
 	customerRetriesPerSecond = 0.5
@@ -47,7 +48,8 @@
 	b.customerBudget(customer, now).RecordRequest(now)
 }
 
-// take takes one retry of a customer out of both budgets.
+// take consumes one retry from the customer's budget and from the entry's. It returns
+// false if either is exhausted.
 func (b *retryBudgets) take(customer string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/entry/call.go
+++ b/entry/call.go
@@ -18,7 +18,7 @@
 	"acaciakeel/retry"
 )
 
-// serviceCall is a decoded call of a plain service.
+// serviceCall is a decoded call of a service that is not a model.
 type serviceCall struct {
 	info           requestInfo
 	service        string
@@ -29,7 +29,7 @@
 	idempotencyKey string
 }
 
-// maxIdempotencyKeyBytes bounds an Idempotency-Key.
+// maxIdempotencyKeyBytes limits the length of an Idempotency-Key.
 const maxIdempotencyKeyBytes = 255
 
 func decodeCall(ctx context.Context, r *http.Request) (any, error) {
@@ -65,7 +65,7 @@
 	})
 }
 
-// callEndpoint carries one call of a plain service to its end.
+// callEndpoint runs one service call and returns its final answer.
 func (e *Entry) callEndpoint(ctx context.Context, request any) (any, error) {
 	c := request.(*serviceCall)
 	snapshot := e.table.Load().snapshot()
@@ -105,15 +105,15 @@
 		DeadlineMs:     uint32(spec.Timeout().Milliseconds()),
 	}
 	if c.idempotencyKey == "" {
-		// Without a key of its own the caller can't repeat the call; the
-		// entry's own sends still need one.
+		// Without its own key the client can't repeat the call, but the entry's
+		// retries still need one.
 		req.IdempotencyKey = uuid.Must(uuid.NewV7()).String()
 		req.FreshKey = true
 	}
 	return req
 }
 
-// pendingCall is one call on its way over the targets of its service.
+// pendingCall is one service call and the targets that may run it.
 type pendingCall struct {
 	entry     *Entry
 	call      *serviceCall
@@ -122,16 +122,17 @@
 	sendCount int
 }
 
-// requiresHomeTarget reports whether only the key's home may run the call: a key
-// that carries its time can run there without a claim while the platform's
-// service is down, and no other agent could then know of it.
+// requiresHomeTarget reports whether only the home target of the key, the first in
+// rank, may run the call. While the platform's service is down, the home target runs
+// keys that contain a timestamp without a claim, so other agents can't know of the
+// run.
 func (p *pendingCall) requiresHomeTarget() bool {
 	_, hasTimestamp := ledger.Made(p.request.IdempotencyKey)
 	return hasTimestamp && !p.request.FreshKey && !p.request.Idempotent
 }
 
-// run sends the call to the targets in order until one has a final answer.
-// A call that may not be repeated goes on only after a truthful "not run".
+// run sends the call to the targets in order until one gives a final answer. A call
+// that is not idempotent is sent to another target only if it certainly did not run.
 func (p *pendingCall) run(ctx context.Context) (*keelv1.CallResponse, *refusal.Error) {
 	last := refusal.New(refusal.NoTarget, "come back after the time in Retry-After", "service %q has no target that answers", p.call.service).WithRetryAfter(noTargetRetryAfter)
 	for _, name := range p.targetsByAvailability() {
@@ -155,8 +156,8 @@
 	return nil, last
 }
 
-// targetsByAvailability puts targets that are believed dead or leaving last. They are
-// kept, because the home of a key decides even when it is slow to answer.
+// targetsByAvailability returns the targets with dead and draining ones last. They are
+// not omitted, because the home target of a key decides even if it is slow to answer.
 func (p *pendingCall) targetsByAvailability() []string {
 	t := p.entry.table.Load()
 	var available, unavailable []string
@@ -170,7 +171,7 @@
 	return append(available, unavailable...)
 }
 
-// sendToHolder asks the agent that holds the claim of a call.
+// sendToHolder sends the call to the agent that holds its claim.
 func (p *pendingCall) sendToHolder(ctx context.Context, holder *keelv1.CallResponse, refused *refusal.Error) (*keelv1.CallResponse, *refusal.Error) {
 	if holder == nil || holder.HolderTarget == "" {
 		return nil, refusal.NewUnknown("another agent had the call and can't be named")
@@ -189,16 +190,16 @@
 	return r.Kind == refusal.TargetFailed && r.Outcome == refusal.NotRun
 }
 
-// Times of settling a call whose answer was lost.
+// Limits of querying the outcome of a call whose answer was lost.
 const (
 	outcomeQueryPause   = 200 * time.Millisecond
 	outcomeQueryTries   = 5
 	outcomeQueryTimeout = time.Second
 )
 
-// sendTo sends the call to one target's agent, to whichever process is there.
-// A call that may not be repeated is addressed to one incarnation, so that
-// only that one is asked for what became of it.
+// sendTo sends the call to one target's agent. A call that is not idempotent is
+// addressed to one incarnation (process) of the agent, so that its outcome is queried
+// from the same process.
 func (p *pendingCall) sendTo(ctx context.Context, name string) (*keelv1.CallResponse, *refusal.Error) {
 	if p.request.Idempotent {
 		return p.sendToIncarnation(ctx, name, "")
@@ -215,8 +216,9 @@
 	return p.sendToIncarnation(ctx, name, answer.Incarnation)
 }
 
-// notSent is the refusal after a send that provably did not happen. At the
-// home of a key that is bound to it, an earlier send may have.
+// notSent returns the refusal for a call that could not be sent. The outcome is
+// unknown if only the key's home target may run the call, because an earlier send may
+// have reached it.
 func (p *pendingCall) notSent(name string, err error) *refusal.Error {
 	r := refusal.New(refusal.TargetFailed, "another target takes the call", "no connection to the agent of %s: %v", name, err)
 	if p.requiresHomeTarget() {
@@ -226,8 +228,8 @@
 	return r
 }
 
-// sendToIncarnation sends the call to one incarnation of one target's agent. Where the
-// answer is lost, the same incarnation is asked what became of the call.
+// sendToIncarnation sends the call to one incarnation of one target's agent. If the
+// answer is lost, it queries the outcome from the same incarnation.
 func (p *pendingCall) sendToIncarnation(ctx context.Context, name, incarnation string) (*keelv1.CallResponse, *refusal.Error) {
 	e := p.entry
 	url, ok := e.table.Load().agentURL[name]
@@ -247,8 +249,8 @@
 		return p.decodeResponse(response.Msg)
 	}
 	if shutdown := shutdownRefusal(ctx); shutdown != nil {
-		// That is no sign of the agent, and leaves no time to ask it what became of
-		// the call.
+		// The entry is shutting down: this says nothing about the health of the agent,
+		// and there is no time to query the outcome of the call.
 		return nil, shutdown
 	}
 	peer.Renew(clients)
@@ -269,9 +271,9 @@
 	return m, decodeRefusal(m.Refusal)
 }
 
-// resolveOutcome finds out what became of a call whose answer was lost. Asking with
-// Abandon rather than sending again means that a call which had not arrived
-// yet can't run after the caller was told "not run".
+// resolveOutcome determines the outcome of a call whose answer was lost. It uses
+// Abandon rather than sending the call again, so that a call that is still in transit
+// can't run after the client has received "not run".
 func (p *pendingCall) resolveOutcome(ctx context.Context, name, url string) (*keelv1.CallResponse, *refusal.Error) {
 	ctx = context.WithoutCancel(ctx)
 	peer := p.entry.links.Peer(url)
@@ -320,7 +322,7 @@
 
 type callFunc func(context.Context, *connect.Request[keelv1.CallRequest]) (*connect.Response[keelv1.CallResponse], error)
 
-// joinCall joins the call at the agent that has it.
+// joinCall sends the same call again to the agent that has it and returns its answer.
 func (p *pendingCall) joinCall(ctx context.Context, call callFunc) (*keelv1.CallResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(p.request.DeadlineMs)*time.Millisecond)
 	defer cancel()
@@ -331,7 +333,7 @@
 	return response.Msg, nil
 }
 
-// headerReplayed marks an answer that an earlier send with the same key gave.
+// headerReplayed marks an answer that was stored for an earlier call with the same key.
 const headerReplayed = "Idempotent-Replayed"
 
 func encodeCall(ctx context.Context, w http.ResponseWriter, response any) error {
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -9,7 +9,7 @@
 	"acaciakeel/refusal"
 )
 
-// completionRequest is a decoded model request of either kind.
+// completionRequest is a decoded chat or text completion request.
 type completionRequest struct {
 	info         requestInfo
 	isChat       bool
@@ -22,7 +22,7 @@
 	lastEventID  string
 }
 
-// completionReply is the answer to a completion: a session whose first event is there.
+// completionReply is the response to a completion request: a session that has produced its first event.
 type completionReply struct {
 	request    *completionRequest
 	model      *modelRequest
@@ -31,8 +31,8 @@
 	endRequest func(tokens int)
 }
 
-// completionEndpoint runs a model request up to its first event, so that all
-// that can be refused is refused with an HTTP status.
+// completionEndpoint runs a model request up to its first event. Any refusal before
+// that can still be returned with an HTTP status.
 func (e *Entry) completionEndpoint(ctx context.Context, request any) (any, error) {
 	c := request.(*completionRequest)
 	m, err := e.newModelRequest(c)
@@ -80,7 +80,7 @@
 	return s.err
 }
 
-// adapterSeparator stands between a model and an adapter in a request.
+// adapterSeparator separates model and adapter in the model field of a request.
 const adapterSeparator = ":"
 
 func (e *Entry) newModelRequest(c *completionRequest) (*modelRequest, error) {
--- a/entry/choose.go
+++ b/entry/choose.go
@@ -17,7 +17,7 @@
 	"acaciakeel/settings"
 )
 
-// placementQuery is what placement has to know of one request.
+// placementQuery holds the parameters of choosing a target for one request.
 type placementQuery struct {
 	customer   string
 	priority   int
@@ -26,7 +26,7 @@
 	root       uint64
 	chain      prefix.Chain
 	preference resource.Preference
-	// excluded are the targets that must not be chosen again.
+	// excluded lists the targets that were already tried.
 	excluded []string
 }
 
@@ -38,16 +38,17 @@
 	estimate    placement.Estimate
 }
 
-// Bounds of the asking.
+// Limits of target selection.
 const (
 	maxQueriedAgents = 12
-	// noTargetRetryAfter is when to come back while no runner is ready.
+	// noTargetRetryAfter is the Retry-After value while no runner is ready.
 	noTargetRetryAfter = time.Second
-	// maxLoadRatio is how far above the mean the baseline prefix-hash loads a target.
+	// maxLoadRatio limits the load of a target, relative to the mean, under the
+	// prefix-hash baseline policy.
 	maxLoadRatio = 1.25
 )
 
-// targetSelection is the work of choosing for one request.
+// targetSelection is the state of choosing a target for one request.
 type targetSelection struct {
 	entry     *Entry
 	table     *routingTable
@@ -55,11 +56,11 @@
 	runners   []placement.Runner
 	ranked    []int32
 	estimates []placement.Estimate
-	// reservation is the number that agents hold time under.
+	// reservation identifies the time that agents reserve for this request.
 	reservation uint64
 }
 
-// chooseTarget picks the target of a request by the policy of its preference.
+// chooseTarget selects the target of a request by the policy of its preference.
 func (e *Entry) chooseTarget(ctx context.Context, q placementQuery) (chosenTarget, *refusal.Error) {
 	began := time.Now()
 	defer func() { e.metrics.chooseDuration.Observe(time.Since(began).Seconds()) }()
@@ -84,8 +85,8 @@
 
 var rankers = sync.Pool{New: func() any { return &placement.Ranker{} }}
 
-// rank puts the usable runners into the policy's order: those of the entry's
-// own region, and all where the region has none.
+// rank orders the usable runners by policy. Runners of other regions are considered
+// only if the entry's own region has none.
 func (s *targetSelection) rank() {
 	q := s.query
 	filters := []placement.Filter{placement.NotDraining, placement.Except(q.excluded), s.usable}
@@ -117,7 +118,7 @@
 	return s.entry.health.allowRequest(r.Name)
 }
 
-// The policies that are measured beside the product's own.
+// Baseline policies for comparison with the default one.
 const (
 	policyRandom     = "random"
 	policyLeastLoad  = "least-load"
@@ -125,7 +126,7 @@
 	policyOracle     = "oracle"
 )
 
-// selectTarget returns the index in order of the runner to use, or -1.
+// selectTarget returns the index in ranked of the runner to use, or -1.
 func (s *targetSelection) selectTarget(ctx context.Context) int {
 	if len(s.ranked) == 0 {
 		return -1
@@ -148,7 +149,7 @@
 	return s.queryInBatches(ctx, weights)
 }
 
-// selectWithinLoadBound returns the first runner in order whose load is near the mean.
+// selectWithinLoadBound returns the first ranked runner whose load is near the mean.
 func (s *targetSelection) selectWithinLoadBound() int {
 	for i, at := range s.ranked {
 		load, mean := s.entry.health.load(s.runners[at].Name, len(s.runners))
@@ -159,9 +160,9 @@
 	return 0
 }
 
-// queryInBatches asks the first runners in order, and the next ones as long as the
-// best answer would make the caller wait, for the queue or for its prefill:
-// somebody further down may hold the prefix, or have room for it.
+// queryInBatches queries the first ranked runners, and further ones while the best
+// estimate exceeds WidenWaitMS because of queueing or prefill: a lower-ranked
+// runner may have the prefix cached or be less loaded.
 func (s *targetSelection) queryInBatches(ctx context.Context, weights placement.CostWeights) int {
 	limit := float64(s.query.preference.WidenWaitMS) / 1000
 	best := -1
@@ -176,7 +177,8 @@
 	return best
 }
 
-// queryFirst puts the question to the agents up to the n-th in order, all at once.
+// queryFirst queries the agents up to the n-th ranked one that were not queried yet,
+// in parallel.
 func (s *targetSelection) queryFirst(ctx context.Context, n int) {
 	ctx, cancel := context.WithTimeout(ctx, settings.Millis(s.entry.settings.Routing.AskTimeoutMS))
 	defer cancel()
@@ -223,7 +225,7 @@
 	clients := peer.Clients()
 	response, err := clients.Agent.Ask(ctx, connect.NewRequest(request))
 	if errors.Is(ctx.Err(), context.Canceled) {
-		// The caller left, or another answer was enough: no sign of the agent.
+		// The request was canceled; this says nothing about the health of the agent.
 		return placement.Estimate{}
 	}
 	if err != nil {
--- a/entry/contracts.go
+++ b/entry/contracts.go
@@ -9,7 +9,7 @@
 	"acaciakeel/resource"
 )
 
-// contracts holds each customer's account at this entry.
+// contracts tracks each customer's use of its contract at this entry.
 type contracts struct {
 	mu         sync.Mutex
 	accounts   map[string]*contract.Account
@@ -20,7 +20,7 @@
 	return &contracts{accounts: map[string]*contract.Account{}, entryCount: 1}
 }
 
-// setEntryCount tells how many entries share the limits.
+// setEntryCount sets the number of entries that share the limits.
 func (c *contracts) setEntryCount(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,7 +42,7 @@
 	return a
 }
 
-// beginRequest takes a request in, or refuses it.
+// beginRequest admits a request, or refuses it if a limit of the contract is exceeded.
 func (c *contracts) beginRequest(name string, spec resource.Customer, tokens int) *refusal.Error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +55,7 @@
 		"the contract's limit of %s is met", exceeded).WithRetryAfter(retryAfter)
 }
 
-// endRequest ends a request, charging the tokens it generated.
+// endRequest ends a request and charges the tokens that it generated.
 func (c *contracts) endRequest(name string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/entry/encode.go
+++ b/entry/encode.go
@@ -11,8 +11,8 @@
 	"acaciakeel/stream"
 )
 
-// encodeCompletion writes a completion's answer: a stream of server-sent events,
-// or one JSON object.
+// encodeCompletion writes the response to a completion request: a stream of
+// server-sent events, or one JSON object.
 func (e *Entry) encodeCompletion(ctx context.Context, w http.ResponseWriter, response any) error {
 	r := response.(*completionReply)
 	w.Header().Set(headerRequestID, r.model.requestID)
@@ -23,8 +23,9 @@
 	return e.writeJSON(ctx, w, r)
 }
 
-// forEachEvent calls take with every event of the reply and returns why the stream
-// broke off, if it did. Contract and counters are settled here.
+// forEachEvent calls handle with every event of the reply. It returns the reason if
+// the stream was interrupted. It also updates the token metrics and ends the request
+// in the contract.
 func (e *Entry) forEachEvent(r *completionReply, handle func(streamEvent)) *refusal.Error {
 	tokens := 0
 	defer func() { r.endRequest(tokens) }()
@@ -100,9 +101,8 @@
 	}
 }
 
-// writeStream writes each event as it comes. A stream that breaks off ends
-// with an error event and without the closing [DONE], so that no client takes
-// a part for the whole.
+// writeStream writes each event when it arrives. An interrupted stream ends with an
+// error event and without [DONE], so that clients can tell that it is incomplete.
 func (e *Entry) writeStream(_ context.Context, w http.ResponseWriter, r *completionReply) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
--- a/entry/ending.go
+++ b/entry/ending.go
@@ -7,9 +7,9 @@
 	"acaciakeel/refusal"
 )
 
-// shutdownRefusal returns the answer to a request that is given up because the process
-// ends, which comes as the cause of the end of its context; nil where that has
-// another cause, or has not ended.
+// shutdownRefusal returns the refusal of a request that was canceled because the
+// process shuts down. The shutdown passes it as the cause of the context. It returns
+// nil if the context is not done or has another cause.
 func shutdownRefusal(ctx context.Context) *refusal.Error {
 	var shutdown *refusal.Error
 	if !errors.As(context.Cause(ctx), &shutdown) {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -20,7 +20,7 @@
 	"acaciakeel/vm"
 )
 
-// Entry is the process that callers and operators talk to.
+// Entry serves the HTTP requests of clients and operators.
 type Entry struct {
 	settings     Settings
 	log          *logrus.Entry
@@ -37,13 +37,13 @@
 	incarnations *incarnationCache
 	rollouts     *rolloutTracker
 	stopping     atomic.Bool
-	// configured closes when the first configuration is in force, stopped when
-	// the last requests are to end.
+	// configured is closed when the first configuration is applied, stopped when
+	// waiting watch requests must end.
 	configured chan struct{}
 	stopped    chan struct{}
 }
 
-// New returns an entry that has not begun to run.
+// New returns an entry. Run starts it.
 func New(s Settings, log *logrus.Logger) *Entry {
 	e := &Entry{
 		settings:     s,
@@ -77,7 +77,7 @@
 
 func (e *Entry) onConfigEvent(event string, err error) {
 	e.metrics.configEvents.WithLabelValues(event).Inc()
-	e.log.WithError(err).WithField("event", event).Debug("following the configuration failed")
+	e.log.WithError(err).WithField("event", event).Debug("failed to update the configuration")
 }
 
 func (e *Entry) registerGauges() {
@@ -90,7 +90,7 @@
 	})
 }
 
-// Run keeps the entry current until ctx ends.
+// Run applies each new configuration state until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
 	go e.follower.Run(ctx)
 	for {
@@ -104,7 +104,7 @@
 	}
 }
 
-// applyState swaps the routing table for that of the current state.
+// applyState replaces the routing table with one built from the current state.
 func (e *Entry) applyState() {
 	t := newRoutingTable(e.follower.State())
 	old := e.table.Swap(t)
@@ -118,12 +118,12 @@
 			"event":    "config_applied",
 			"revision": t.snapshot().Revision,
 			"targets":  len(t.agentURL),
-		}).Info("configuration in force")
+		}).Info("configuration applied")
 	}
 }
 
-// Handler serves callers, operators, the system's own messages, /metrics,
-// /healthz and /readyz.
+// Handler serves the client API, the operator API, the configuration service of
+// other processes, /metrics, /healthz and /readyz.
 func (e *Entry) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /v1/chat/completions", e.customerHandler("chat", e.completionEndpoint, decodeChat, e.encodeCompletion))
@@ -138,12 +138,12 @@
 	return mux
 }
 
-// configTimeout is how long a request waits for an entry's first configuration.
+// configTimeout limits how long a request waits for the first configuration.
 const configTimeout = 3 * time.Second
 
-// awaitConfig holds a request back until the entry has a configuration. An
-// entry that has just started knows no customer yet: to answer "no customer
-// has this key" would be false, and a restarted entry is to serve at once.
+// awaitConfig waits until the entry has a configuration. Before that the entry knows
+// no customers and would wrongly reject valid keys. Waiting also lets a restarted
+// entry accept requests immediately.
 func (e *Entry) awaitConfig(ctx context.Context) error {
 	select {
 	case <-e.configured:
@@ -169,8 +169,8 @@
 	}
 }
 
-// shutdownNotice is how long an entry serves on after it has begun to say "not
-// ready", so that the balancer sends nothing to a closed door.
+// shutdownNotice is how long an entry keeps serving after /readyz starts to fail, so
+// that the load balancer stops sending requests before the listener closes.
 const shutdownNotice = 2 * time.Second
 
 // Stopping makes the entry tell the balancer that it leaves, and returns once
@@ -181,7 +181,7 @@
 	case <-time.After(shutdownNotice):
 	case <-ctx.Done():
 	}
-	// Requests that only wait for changes end here.
+	// End the requests that only wait for configuration changes.
 	close(e.stopped)
 	e.configServer.Stop()
 }
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -10,8 +10,7 @@
 	"acaciakeel/refusal"
 )
 
-// Whatever a caller sends, it must get a typed refusal or a request that can
-// be run; nothing may panic.
+// Any request body must give a typed refusal or a valid request, never a panic.
 func FuzzDecodeChat(f *testing.F) {
 	f.Add(`{"model":"m","messages":[{"role":"user","content":"hello"}],"max_tokens":3}`)
 	f.Add(`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"}]}]}`)
@@ -33,7 +32,7 @@
 	})
 }
 
-// An event id that callers send back must read as it was written.
+// Guards against event ids that do not survive a round trip through String and parse.
 func FuzzResumePoint(f *testing.F) {
 	f.Add("id/1/runner-0/0/5")
 	f.Add("////")
--- a/entry/incarnation.go
+++ b/entry/incarnation.go
@@ -10,7 +10,7 @@
 	keelv1 "acaciakeel/api/keel/v1"
 )
 
-// incarnationCache remembers which process last answered for each target.
+// incarnationCache caches the incarnation (process) of the agent of each target.
 type incarnationCache struct {
 	mu       sync.Mutex
 	byTarget map[string]string
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -6,7 +6,7 @@
 	"acaciakeel/telemetry"
 )
 
-// metrics of an entry. Their names are listed in docs/operating/metrics.md.
+// metrics holds the metrics of an entry, which docs/operating/metrics.md lists.
 type metrics struct {
 	requests             *prometheus.CounterVec
 	refusals             *prometheus.CounterVec
--- a/entry/openai.go
+++ b/entry/openai.go
@@ -8,8 +8,8 @@
 	"acaciakeel/prefix"
 )
 
-// The callers' protocol is OpenAI's chat and text completions, in the parts
-// that matter to routing.
+// The client API is the subset of OpenAI's chat and text completions that routing
+// needs.
 
 // chatRequest is the body of POST /v1/chat/completions.
 type chatRequest struct {
@@ -64,8 +64,8 @@
 	return b.String(), nil
 }
 
-// renderPrompt writes a chat as the prompt that engines get and notes where each
-// message ends. The question for an answer comes after the last end.
+// renderPrompt converts chat messages to the prompt text for the engine and records
+// where each message ends. The assistant header follows the last message.
 func renderPrompt(messages []chatMessage) (prefix.Prompt, error) {
 	var p prefix.Prompt
 	for i, m := range messages {
@@ -82,7 +82,7 @@
 	return p, nil
 }
 
-// usage is the token count at the end of an answer.
+// usage holds the token counts of a completed response.
 type usage struct {
 	PromptTokens        int          `json:"prompt_tokens"`
 	CompletionTokens    int          `json:"completion_tokens"`
@@ -104,8 +104,8 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// choice is the one alternative of an answer. Message is set in a whole chat
-// answer, Delta in a chunk of one, Text in text completions.
+// choice is the single choice of a response. Message is set in a complete chat
+// response, Delta in a chat chunk, Text in text completions.
 type choice struct {
 	Index        int          `json:"index"`
 	Message      *chatContent `json:"message,omitempty"`
@@ -119,7 +119,7 @@
 	Content string `json:"content"`
 }
 
-// errorBody is an error in OpenAI's format, with acaciakeel's own fields beside.
+// errorBody is an error in OpenAI's format with additional fields.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -134,7 +134,7 @@
 	RequestID string `json:"request_id"`
 }
 
-// modelList is the answer to GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -40,7 +40,7 @@
 	mux.Handle("GET "+operator.PathStatus, e.operatorHandler("status", RoleReader, e.statusEndpoint))
 }
 
-// operatorHandler makes the handler of one operation for operators of a role.
+// operatorHandler returns the HTTP handler of one operation that requires a role.
 func (e *Entry) operatorHandler(operation string, role Role, ep endpoint.Endpoint) http.Handler {
 	decode := func(ctx context.Context, r *http.Request) (any, error) {
 		o, err := e.authorizeOperator(r, role)
@@ -94,7 +94,7 @@
 	return req, nil
 }
 
-// Bounds of the resource API.
+// Limits of the resource API.
 const (
 	maxResourceBytes = 256 << 10
 	maxWatchWait     = 30 * time.Second
@@ -127,8 +127,8 @@
 	return list, nil
 }
 
-// watchEndpoint waits for changes after a revision. A watcher goes on from
-// the revision of the last answer, at any entry, without loss or repeat.
+// watchEndpoint waits for changes after a revision. A watcher can continue from the
+// revision of the last response at any entry and neither misses nor repeats a change.
 func (e *Entry) watchEndpoint(ctx context.Context, request any) (any, error) {
 	req := request.(resourceRequest)
 	ctx, cancel := context.WithTimeout(ctx, req.wait)
@@ -150,7 +150,7 @@
 	return snapshot.Since(req.afterRevision), nil
 }
 
-// putEndpoint accepts a change: checked, then written by compare-and-swap.
+// putEndpoint validates a change and writes it by compare-and-swap.
 func (e *Entry) putEndpoint(ctx context.Context, request any) (any, error) {
 	req := request.(resourceRequest)
 	r := resource.Resource{
@@ -198,8 +198,8 @@
 	return resource.Deletion{Key: key, Revision: revision}, nil
 }
 
-// maxApplyWait is how long an accepted change may take until this entry
-// itself reads it back; after that the answer goes out all the same.
+// maxApplyWait limits how long the response to an accepted change waits until this
+// entry has applied it. The change stays accepted if the wait times out.
 const maxApplyWait = time.Second
 
 func (e *Entry) awaitApplied(ctx context.Context, revision int64) {
@@ -209,7 +209,7 @@
 	_ = e.follower.Await(ctx, revision)
 }
 
-// audit writes one line for each change that an operator asked for.
+// audit logs and counts a change requested by an operator, accepted or refused.
 func (e *Entry) audit(req resourceRequest, change string, version int64, err error) {
 	result := "accepted"
 	if err != nil {
@@ -225,5 +225,5 @@
 		"version":   version,
 		"change_id": req.change.ChangeID,
 		"result":    result,
-	}).Info("operator's change")
+	}).Info("change requested by an operator")
 }
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -9,15 +9,15 @@
 	"acaciakeel/refusal"
 )
 
-// resumePoint is what an event's id says, so that a caller can go on reading
-// through any entry: which attempt at which target, and where in the stream.
+// resumePoint is the content of an event id. It names the attempt, the target and the
+// position in the stream, so that a client can resume the stream at any entry.
 type resumePoint struct {
 	requestID string
 	attempt   uint32
 	target    string
-	// base is the stream's offset at which the attempt began.
+	// base is the offset in the stream at which the attempt started.
 	base int
-	// offset is the event's own.
+	// offset is the offset of the event in the stream.
 	offset int
 }
 
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s/%d/%s/%d/%d", p.requestID, p.attempt, p.target, p.base, p.offset)
 }
 
-// resumeFields is how many fields an event id has.
+// resumeFields is the number of fields in an event id.
 const resumeFields = 5
 
 func parseResumePoint(id string) (resumePoint, error) {
@@ -42,8 +42,8 @@
 	return p, nil
 }
 
-// resumeSession goes on with a stream that another entry began. Only the
-// agent of the attempt has its text, so there is no other runner to go on at.
+// resumeSession resumes a stream that may have been started by another entry. Only
+// the attempt's agent holds its text, so the stream can't continue at another runner.
 func (e *Entry) resumeSession(ctx context.Context, m *modelRequest, point resumePoint) (*session, *refusal.Error) {
 	url, ok := e.table.Load().agentURL[point.target]
 	if !ok {
--- a/entry/rollout.go
+++ b/entry/rollout.go
@@ -8,8 +8,8 @@
 	"acaciakeel/resource"
 )
 
-// rolloutTracker remembers which weights each runner last said it had, and which
-// models have moved to their new weights at this entry.
+// rolloutTracker tracks the weights that each runner last reported, and the models that
+// this entry has switched to their new weights.
 type rolloutTracker struct {
 	mu       sync.Mutex
 	loaded   map[string]uint64
@@ -20,14 +20,14 @@
 	return &rolloutTracker{loaded: map[string]uint64{}, switched: map[string]string{}}
 }
 
-// recordWeights takes a runner's word on its weights.
+// recordWeights records the weights hash that a runner reported.
 func (r *rolloutTracker) recordWeights(target string, weights uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.loaded[target] = weights
 }
 
-// servingVersion returns the weights that a new request of a plan goes to.
+// servingVersion returns the weights version that serves a new request.
 func (r *rolloutTracker) servingVersion(m *modelRequest, snapshot *resource.Snapshot) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/session.go
+++ b/entry/session.go
@@ -14,7 +14,7 @@
 	"acaciakeel/stream"
 )
 
-// modelRequest is a model request after decoding: what to run, for whom.
+// modelRequest is a validated model request with its customer and model settings.
 type modelRequest struct {
 	requestID  string
 	customer   string
@@ -27,9 +27,10 @@
 	deadline   time.Time
 	preference resource.Preference
 	received   time.Time
-	// weights is the version that the request runs with.
+	// weights is the weights version that the request runs with.
 	weights string
-	// resumable: the caller reads a stream, whose events have ids.
+	// resumable is set if the client reads an event stream. Its event ids allow it to
+	// resume.
 	resumable bool
 }
 
@@ -42,17 +43,17 @@
 	}.String()
 }
 
-// streamEvent is one thing that a caller's stream consists of: a token, or the end.
+// streamEvent is one event of a client's stream: a token, or the end if finish is set.
 type streamEvent struct {
 	offset int
 	text   string
-	// id lets the caller resume after this event.
+	// id is the SSE event id; the client sends it to resume after this event.
 	id     string
 	finish *stream.Finish
 }
 
-// session carries one model request to its end, over as many attempts,
-// connections and runners as that takes.
+// session runs one model request, with as many attempts, connections and runners
+// as it needs.
 type session struct {
 	entry        *Entry
 	request      *modelRequest
@@ -62,17 +63,17 @@
 	attemptCount int
 	triedTargets []string
 	target       chosenTarget
-	// runnerWait is how long the stream has waited for any runner.
+	// runnerWait is the total time that the stream has waited for a ready runner.
 	runnerWait time.Duration
 	events     chan streamEvent
 	err        *refusal.Error
 }
 
-// eventBuffer is how many events may wait for a slow caller.
+// eventBuffer is the number of events buffered for a slow client.
 const eventBuffer = 64
 
-// startSession begins to run a plan. Events come on its channel, which closes
-// at the end; then err says why a stream broke off, if it did.
+// startSession starts running a request. Events arrive on the events channel. When
+// it is closed, err holds the reason if the stream was interrupted.
 func (e *Entry) startSession(ctx context.Context, m *modelRequest) *session {
 	s := &session{entry: e, request: m, events: make(chan streamEvent, eventBuffer)}
 	go func() {
@@ -82,9 +83,9 @@
 	return s
 }
 
-// run makes attempts until one brings the stream to its end. An attempt that
-// broke off is continued at another runner from the prompt and what was sent,
-// so that only what no cache holds is computed again.
+// run makes attempts until one completes the stream. An interrupted attempt is
+// continued at another runner with the prompt and the text already sent, so that
+// only tokens missing from every cache are recomputed.
 func (s *session) run(ctx context.Context) *refusal.Error {
 	s.entry.retryBudgets.recordRequest(s.request.customer)
 	for {
@@ -99,7 +100,7 @@
 			return refusal.New(refusal.Canceled, "nothing", "the caller left")
 		}
 		if len(s.sentText) > 0 && refused.Outcome == refusal.NotRun {
-			// The stream as a whole did run.
+			// Earlier attempts of this stream did run.
 			refused.Outcome = refusal.Unknown
 		}
 		if s.canWaitForRunner(refused) {
@@ -119,21 +120,21 @@
 	}
 }
 
-// Waiting for a runner in mid-stream.
+// Limits of waiting for a runner after a stream has started.
 const (
 	maxRunnerWait   = 10 * time.Second
 	runnerWaitPause = 200 * time.Millisecond
 )
 
-// canWaitForRunner reports whether a stream that has begun should wait for a runner
-// to come back. The caller has its first part and reads on; a request of
-// which nothing was sent yet is refused at once instead.
+// canWaitForRunner reports whether the session should wait for a runner to become
+// ready. Only a stream of which the client has received a part waits; a request
+// of which nothing was sent is refused immediately.
 func (s *session) canWaitForRunner(refused *refusal.Error) bool {
 	return len(s.sentText) > 0 && refused.Kind == refusal.NoTarget
 }
 
-// waitForRunner waits a little, and forgets which runners were tried: one that
-// crashed may be back. It reports false once the stream has waited too long.
+// waitForRunner pauses and clears the list of tried runners, because one that crashed
+// may have restarted. It returns false after maxRunnerWait in total.
 func (s *session) waitForRunner(ctx context.Context) bool {
 	if s.runnerWait >= maxRunnerWait {
 		return false
@@ -159,8 +160,8 @@
 	return retry.Interrupted
 }
 
-// runAttempt makes one attempt with the weights that the model serves now; a
-// stream that has begun keeps its own while any runner has them.
+// runAttempt makes one attempt with the weights that the model serves now. A started
+// stream keeps its weights version while any runner has it loaded.
 func (s *session) runAttempt(ctx context.Context) *refusal.Error {
 	m := s.request
 	if len(s.sentText) == 0 {
@@ -170,13 +171,13 @@
 	if refused == nil || refused.Kind != refusal.NoTarget || m.weights == m.spec.WeightsVersion {
 		return refused
 	}
-	// No runner has the previous weights any more. Forward is the only way:
-	// no request moves to older ones.
+	// No runner has the previous weights any more. A request may move to newer
+	// weights, but never to older ones.
 	m.weights = m.spec.WeightsVersion
 	return s.runAttemptWithWeights(ctx)
 }
 
-// runAttemptWithWeights makes an attempt with the plan's weights.
+// runAttemptWithWeights makes one attempt with the request's weights version.
 func (s *session) runAttemptWithWeights(ctx context.Context) *refusal.Error {
 	m := s.request
 	prompt := prefix.Prompt{Text: append(m.prompt.Text[:len(m.prompt.Text):len(m.prompt.Text)], s.sentText...), Ends: m.prompt.Ends}
@@ -203,8 +204,8 @@
 	return s.entry.newAttempt(s, prompt.Text, chain, salt).run(ctx)
 }
 
-// acceptToken passes one token on, once and in order, and reports whether the
-// connection that it came over is still to be believed.
+// acceptToken forwards each token once and in order. It returns false if the token
+// leaves a gap, in which case the connection must not be read further.
 func (s *session) acceptToken(ctx context.Context, attempt uint32, t *keelv1.Token) bool {
 	verdict := s.assembler.Take(attempt, int(t.Offset))
 	switch verdict {
@@ -239,7 +240,7 @@
 	}
 }
 
-// emitFinish passes the end on.
+// emitFinish sends the final event with the token counts.
 func (s *session) emitFinish(ctx context.Context, f *keelv1.Finish) {
 	s.emit(ctx, streamEvent{
 		offset: s.assembler.Offset(),
@@ -254,14 +255,14 @@
 	})
 }
 
-// abandonTimeout bounds telling an agent that an attempt was given up.
+// abandonTimeout limits the Abandon request to an agent.
 const abandonTimeout = time.Second
 
-// abandon tells the agent of an attempt that nobody will read it any more.
+// abandon tells the agent that the output of an attempt will not be read any more.
 func (e *Entry) abandon(url, customer, requestID string, attempt uint32) {
 	ctx, cancel := context.WithTimeout(context.Background(), abandonTimeout)
 	defer cancel()
 	req := connect.NewRequest(&keelv1.AbandonRequest{Customer: customer, RequestId: requestID, Attempt: attempt})
-	// A failure leaves the attempt to the agent's own limit for unread streams.
+	// If this fails, the agent's time limit for unread streams ends the attempt.
 	_, _ = e.links.Peer(url).Clients().Agent.Abandon(ctx, req)
 }
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -1,7 +1,7 @@
-// Package entry is the process that callers and operators talk to: it knows
-// customers by their keys, holds contracts, chooses the target of each
-// request, keeps streams whole, and serves the resource API. It holds no
-// cache state, so a restarted entry decides as its neighbours do.
+// Package entry implements the process that serves clients and operators. It
+// authenticates customers by key, enforces contracts, selects the target of each
+// request, resumes interrupted streams and serves the resource API. It holds no cache
+// state, so a restarted entry makes the same decisions as the others.
 package entry
 
 import (
@@ -19,35 +19,35 @@
 	Limits    LimitSettings     `toml:"limits"`
 	Routing   RoutingSettings   `toml:"routing"`
 	Operators []Operator        `toml:"operator"`
-	// StopLimitMS is how long a planned stop waits for what runs. Default 60000.
+	// StopLimitMS limits how long a shutdown waits for running requests. Default 60000.
 	StopLimitMS float64 `toml:"stop_limit_ms"`
 }
 
-// LimitSettings bound what callers send.
+// LimitSettings limit client requests.
 type LimitSettings struct {
-	// BodyBytes is the largest body. Default 8388608.
+	// BodyBytes is the maximum size of a request body. Default 8388608.
 	BodyBytes int64 `toml:"body_bytes"`
-	// MaxTokens is the most tokens that a request may generate. Default 4096.
+	// MaxTokens is the maximum number of tokens that a request may generate. Default 4096.
 	MaxTokens int `toml:"max_tokens"`
-	// DefaultTokens is how many a request generates that does not say. Default 256.
+	// DefaultTokens is the token limit of a request that sets none. Default 256.
 	DefaultTokens int `toml:"default_tokens"`
 }
 
-// RoutingSettings are the times of the entry's own messages.
+// RoutingSettings configure the requests to agents and their retries.
 type RoutingSettings struct {
-	// AskTimeoutMS bounds a question to an agent. Default 100.
+	// AskTimeoutMS is the time-out of an Ask request to an agent. Default 100.
 	AskTimeoutMS float64 `toml:"ask_timeout_ms"`
-	// SilenceMS is the silence on a stream after which it is resumed on a new
-	// connection: several heartbeats of the agents. Default 1000.
+	// SilenceMS is how long a stream may be silent before it is resumed on a new
+	// connection. It covers several heartbeats of the agents. Default 1000.
 	SilenceMS float64 `toml:"silence_ms"`
-	// RetryRatio is the retries allowed as a share of requests. Default 0.1.
+	// RetryRatio is the allowed ratio of retries to requests. Default 0.1.
 	RetryRatio float64 `toml:"retry_ratio"`
-	// OtherDataCentreMS is the cost of a target in another data centre of the
-	// region, there and back. Default 1.
+	// OtherDataCentreMS is the round-trip time to a target in another data centre of
+	// the region. Default 1.
 	OtherDataCentreMS float64 `toml:"other_data_centre_ms"`
 }
 
-// Role is what an operator may do.
+// Role determines the operations allowed to an operator.
 type Role string
 
 // The roles of operators.
@@ -56,9 +56,9 @@
 	RoleWriter Role = "writer"
 )
 
-// Operator is one operator's key.
+// Operator is an operator with its key and role.
 type Operator struct {
-	// Name goes into the audit line of each change.
+	// Name is recorded in the audit log and as the author of each change.
 	Name string `toml:"name"`
 	// KeyHash is the SHA-256 hash of the key in hex, as `keelctl hash-key` prints it.
 	KeyHash string `toml:"key_hash"`
@@ -66,7 +66,6 @@
 	Role Role `toml:"role"`
 }
 
-// DefaultSettings returns the defaults.
 func DefaultSettings() Settings {
 	return Settings{
 		Limits:      LimitSettings{BodyBytes: 8 << 20, MaxTokens: 4096, DefaultTokens: 256},
--- a/entry/status.go
+++ b/entry/status.go
@@ -13,11 +13,11 @@
 	"acaciakeel/operator"
 )
 
-// statusTimeout bounds the question to each process for its revision.
+// statusTimeout limits the revision requests to the other processes.
 const statusTimeout = 500 * time.Millisecond
 
-// statusEndpoint tells what this entry knows, and which revision is in force
-// at each process.
+// statusEndpoint returns the status of the targets as this entry sees them, and the
+// configuration revision of each process.
 func (e *Entry) statusEndpoint(ctx context.Context, _ any) (any, error) {
 	t := e.table.Load()
 	s := operator.Status{
@@ -40,8 +40,8 @@
 	return s, nil
 }
 
-// appliedRevisions asks every listed process for its revision. A process that does not
-// answer is given as -1.
+// appliedRevisions requests the revision of every listed process. A process that does
+// not answer is reported as -1.
 func (e *Entry) appliedRevisions(ctx context.Context, t *routingTable) map[string]int64 {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
--- a/entry/table.go
+++ b/entry/table.go
@@ -11,8 +11,7 @@
 	"acaciakeel/resource"
 )
 
-// routingTable is what routing needs of one State, worked out once when it changes.
-// It is immutable.
+// routingTable holds the routing data derived from one configuration State. It is immutable.
 type routingTable struct {
 	state    *configsync.State
 	models   map[string]*runnerSet
@@ -45,8 +44,8 @@
 	return set
 }
 
-// isDraining reports whether the operator or the platform's list takes a
-// target out of new work.
+// isDraining reports whether a target must not get new requests, because the operator
+// or the platform's VM list marks it as leaving.
 func isDraining(state *configsync.State, target string) bool {
 	spec := state.Snapshot.Targets[target]
 	return spec.Leaving || state.Leaving(cmp.Or(spec.VM, target))
@@ -56,7 +55,7 @@
 	return t.state.Snapshot
 }
 
-// healthTable holds the entry's opinion of each target.
+// healthTable tracks the health and the running attempts of each target.
 type healthTable struct {
 	mu      sync.Mutex
 	targets map[string]*targetHealth
@@ -120,7 +119,8 @@
 	o.target(name).inflight--
 }
 
-// load returns the requests of this entry that run at a target, and their mean.
+// load returns the number of this entry's attempts running at a target, and the mean
+// over targetCount targets.
 func (o *healthTable) load(name string, targetCount int) (int, float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -131,7 +131,7 @@
 	return o.target(name).inflight, float64(sum) / float64(max(1, targetCount))
 }
 
-// retain forgets targets that are no longer configured.
+// retain removes targets that are no longer configured and run no attempts.
 func (o *healthTable) retain(names map[string]string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/entry/transport.go
+++ b/entry/transport.go
@@ -27,7 +27,7 @@
 	return strconv.Itoa(n)
 }
 
-// requestInfo is who sent a request.
+// requestInfo holds the id, arrival time and customer of a request.
 type requestInfo struct {
 	requestID string
 	received  time.Time
@@ -42,7 +42,7 @@
 	operationKey
 )
 
-// Headers of the callers' protocol.
+// Headers of the client API.
 const (
 	headerRequestID   = "X-Request-Id"
 	headerDeadline    = "X-Deadline-Ms"
@@ -51,13 +51,12 @@
 	bearerPrefix      = "Bearer "
 )
 
-// customerHandler makes the HTTP handler of one operation of callers.
+// customerHandler returns the HTTP handler of one operation of the client API.
 func (e *Entry) customerHandler(operation string, ep endpoint.Endpoint, decode kithttp.DecodeRequestFunc, encode kithttp.EncodeResponseFunc) http.Handler {
 	return kithttp.NewServer(ep, e.authenticate(decode), encode, e.serverOptions(operation)...)
 }
 
-// serverOptions give a request its id, its errors their format and its end a
-// line in the log.
+// serverOptions assign the request id, encode errors and log completed requests.
 func (e *Entry) serverOptions(operation string) []kithttp.ServerOption {
 	return []kithttp.ServerOption{
 		kithttp.ServerBefore(func(ctx context.Context, _ *http.Request) context.Context {
@@ -75,7 +74,7 @@
 	return c
 }
 
-// authenticate finds the customer before anything of the body is read.
+// authenticate identifies the customer before the body is read.
 func (e *Entry) authenticate(decode kithttp.DecodeRequestFunc) kithttp.DecodeRequestFunc {
 	return func(ctx context.Context, r *http.Request) (any, error) {
 		if err := e.awaitConfig(ctx); err != nil {
@@ -97,7 +96,7 @@
 	return key
 }
 
-// HashKey returns the hash by which a key is known.
+// HashKey returns the SHA-256 hash of a key in hex, as settings and resources store it.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -171,7 +170,7 @@
 	return nil
 }
 
-// encodeError answers with a refusal in OpenAI's error format.
+// encodeError writes a refusal in OpenAI's error format.
 func (e *Entry) encodeError(ctx context.Context, err error, w http.ResponseWriter) {
 	r := refusal.From(err)
 	e.metrics.refusals.WithLabelValues(string(r.Kind)).Inc()
@@ -195,7 +194,7 @@
 	}}
 }
 
-// errorType returns OpenAI's error type for a status.
+// errorType returns OpenAI's error type for an HTTP status.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
@@ -208,7 +207,7 @@
 	return "invalid_request_error"
 }
 
-// logRequest writes one line for each request.
+// logRequest logs and counts a completed request.
 func (e *Entry) logRequest(ctx context.Context, code int, r *http.Request) {
 	c := requestInfoFrom(ctx)
 	operation, _ := ctx.Value(operationKey).(string)
@@ -222,7 +221,6 @@
 	}).Info("request")
 }
 
-// readBody reads a whole body.
 func readBody(r *http.Request) ([]byte, error) {
 	data, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/entry/write.go
+++ b/entry/write.go
@@ -13,16 +13,16 @@
 	"acaciakeel/store"
 )
 
-// Bounds of settling a write whose answer was lost.
+// Limits of retrying a write whose response was lost.
 const (
 	writeTimeout    = 3 * time.Second
 	writeRetryPause = 100 * time.Millisecond
 )
 
-// writeResource stores a resource by compare-and-swap and returns its version. A lost
-// answer is settled by reading back: the change id tells whether this very
-// change took effect. An accepted change is never reported as failed, nor a
-// failed one as accepted; what can't be settled is reported as unknown.
+// writeResource stores a resource by compare-and-swap and returns its version. If the
+// response is lost, it reads the resource back and compares the change id to learn
+// whether the change took effect. An accepted change is never reported as failed, nor
+// a failed one as accepted; otherwise the outcome is reported as unknown.
 func (e *Entry) writeResource(ctx context.Context, r resource.Resource) (int64, error) {
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -55,9 +55,9 @@
 	return refusal.New(refusal.PlatformDown, "apply again when it is back", "the platform's service can't be reached; nothing was changed").WithRetryAfter(2 * time.Second)
 }
 
-// resolveWrite reads what became of a write. It is settled unless the key
-// still has its old version: then the write may be sent again, since its
-// compare-and-swap lets only one copy take effect.
+// resolveWrite determines the outcome of a write by reading the key. It is unresolved
+// if the read fails or the key still has its old version. The write may then be
+// repeated, because compare-and-swap lets only one copy take effect.
 func (e *Entry) resolveWrite(ctx context.Context, key string, r resource.Resource) (version int64, resolved bool, err error) {
 	storeEntry, err := e.store.Get(ctx, key)
 	switch {
@@ -88,7 +88,7 @@
 	return r
 }
 
-// deleteKey deletes a key at a version.
+// deleteKey deletes a key if it still has the given version.
 func (e *Entry) deleteKey(ctx context.Context, key string, version int64) (int64, error) {
 	revision, err := e.store.Delete(ctx, key, version)
 	switch {
