--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -121,13 +121,13 @@
 		RequestId:  a.request.RequestId,
 		Attempt:    a.number,
 		Customer:   a.request.Customer,
-		Offset:     uint32(a.session.assembler.Resume()),
+		Offset:     uint32(a.session.assembler.AttemptOffset()),
 		AttachOnly: true,
 	}
 }
 
-// readConnection reads one connection. It returns how the attempt ended, or in lost how
-// the connection did while the attempt may go on.
+// readConnection reads the attempt over one connection. A nil connErr means that the
+// attempt has ended; otherwise the connection failed and the attempt may continue.
 func (a *attempt) readConnection(ctx context.Context, request *keelv1.GenerateRequest) (refused *refusal.Error, connErr error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -179,7 +179,7 @@
 		err = errConnectionEnded
 	}
 	if !errors.Is(err, context.Canceled) {
-		peer.Renew(clients)
+		peer.Reconnect(clients)
 		a.entry.health.recordFailure(a.target.name)
 	}
 	r := refusal.New(refusal.TargetFailed, "send the request again", "the connection to the agent of %s was lost: %v", a.target.name, err)
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -7,7 +7,8 @@
 	"acaciakeel/retry"
 )
 
-// retryBudgets are the retry retryBudgets of one entry: its own and each customer's.
+// retryBudgets holds the retry budgets of an entry: one for all requests and one per
+// customer.
 type retryBudgets struct {
 	ratio       float64
 	mu          sync.Mutex
@@ -39,7 +40,7 @@
 	return budget
 }
 
-// recordRequest counts one recordRequest in.
+// recordRequest adds one request to both budgets.
 func (b *retryBudgets) recordRequest(customer string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/entry/call.go
+++ b/entry/call.go
@@ -127,7 +127,7 @@
 // keys that contain a timestamp without a claim, so other agents can't know of the
 // run.
 func (p *pendingCall) requiresHomeTarget() bool {
-	_, hasTimestamp := ledger.Made(p.request.IdempotencyKey)
+	_, hasTimestamp := ledger.KeyTime(p.request.IdempotencyKey)
 	return hasTimestamp && !p.request.FreshKey && !p.request.Idempotent
 }
 
@@ -253,7 +253,7 @@
 		// and there is no time to query the outcome of the call.
 		return nil, shutdown
 	}
-	peer.Renew(clients)
+	peer.Reconnect(clients)
 	e.health.recordFailure(name)
 	if isDialError(err) {
 		return nil, p.notSent(name, err)
@@ -282,7 +282,7 @@
 		clients := peer.Clients()
 		outcome, err := p.queryOutcome(ctx, clients.Agent.Abandon)
 		if err != nil {
-			peer.Renew(clients)
+			peer.Reconnect(clients)
 			continue
 		}
 		p.entry.metrics.retries.WithLabelValues(string(retry.Resumed)).Inc()
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -22,7 +22,8 @@
 	lastEventID  string
 }
 
-// completionReply is the response to a completion request: a session that has produced its first event.
+// completionReply is the response to a completion request: a session that has produced
+// its first event.
 type completionReply struct {
 	request    *completionRequest
 	model      *modelRequest
@@ -72,7 +73,7 @@
 	return s, nil
 }
 
-// endError returns why a session endError without an event.
+// endError returns the reason why a session ended without a final event.
 func (s *session) endError() error {
 	if s.err == nil {
 		return refusal.NewUnknown("the stream ended without an event")
--- a/entry/choose.go
+++ b/entry/choose.go
@@ -231,7 +231,7 @@
 	if err != nil {
 		e.metrics.askFailures.Inc()
 		e.health.recordFailure(r.Name)
-		peer.Renew(clients)
+		peer.Reconnect(clients)
 		return placement.Estimate{}
 	}
 	e.health.recordSuccess(r.Name)
--- a/entry/contracts.go
+++ b/entry/contracts.go
@@ -12,12 +12,12 @@
 // contracts tracks each customer's use of its contract at this entry.
 type contracts struct {
 	mu         sync.Mutex
-	accounts   map[string]*contract.Account
+	accounts   map[string]*contract.Limiter
 	entryCount int
 }
 
 func newContracts() *contracts {
-	return &contracts{accounts: map[string]*contract.Account{}, entryCount: 1}
+	return &contracts{accounts: map[string]*contract.Limiter{}, entryCount: 1}
 }
 
 // setEntryCount sets the number of entries that share the limits.
@@ -27,7 +27,7 @@
 	c.entryCount = max(1, n)
 }
 
-func (c *contracts) account(name string, spec resource.Customer, now time.Time) *contract.Account {
+func (c *contracts) account(name string, spec resource.Customer, now time.Time) *contract.Limiter {
 	limits := contract.Limits{
 		RequestsPerSecond: spec.RequestsPerSecond,
 		TokensPerSecond:   spec.TokensPerSecond,
@@ -35,7 +35,7 @@
 	}.Share(c.entryCount)
 	a := c.accounts[name]
 	if a == nil {
-		a = contract.NewAccount(limits)
+		a = contract.NewLimiter(limits)
 		c.accounts[name] = a
 	}
 	a.SetLimits(limits, now)
@@ -47,7 +47,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	exceeded, retryAfter := c.account(name, spec, now).Begin(tokens, now)
+	exceeded, retryAfter := c.account(name, spec, now).Acquire(tokens, now)
 	if exceeded == contract.None {
 		return nil
 	}
@@ -63,6 +63,6 @@
 	if a == nil {
 		return
 	}
-	a.Used(tokens, time.Now())
-	a.End()
+	a.Charge(tokens, time.Now())
+	a.Release()
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -173,9 +173,10 @@
 // that the load balancer stops sending requests before the listener closes.
 const shutdownNotice = 2 * time.Second
 
-// Stopping makes the entry tell the balancer that it leaves, and returns once
-// the balancer has had time to notice. Requests are served all the while.
-func (e *Entry) Stopping(ctx context.Context) {
+// AnnounceShutdown makes /readyz fail, waits until the load balancer has had time to
+// notice, and then ends pending watch requests and the configuration service.
+// Other requests are served meanwhile.
+func (e *Entry) AnnounceShutdown(ctx context.Context) {
 	e.stopping.Store(true)
 	select {
 	case <-time.After(shutdownNotice):
--- a/entry/incarnation.go
+++ b/entry/incarnation.go
@@ -32,7 +32,8 @@
 	i.byTarget[target] = incarnation
 }
 
-// getOrFetch returns the incarnation getOrFetch a target's agent, asking it the first time.
+// getOrFetch returns the incarnation of a target's agent. If it is not cached, it is
+// requested from the agent.
 func (i *incarnationCache) getOrFetch(ctx context.Context, e *Entry, target string) (string, error) {
 	if cached := i.get(target); cached != "" {
 		return cached, nil
@@ -44,7 +45,7 @@
 	clients := peer.Clients()
 	response, err := clients.Agent.Abandon(ctx, connect.NewRequest(&keelv1.AbandonRequest{}))
 	if err != nil {
-		peer.Renew(clients)
+		peer.Reconnect(clients)
 		e.health.recordFailure(target)
 		return "", fmt.Errorf("ask for the agent's incarnation: %w", err)
 	}
--- a/entry/openai.go
+++ b/entry/openai.go
@@ -94,7 +94,7 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// completionResponse is a whole completionResponse, or one chunk of a stream.
+// completionResponse is a complete response, or one chunk of a stream.
 type completionResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -53,7 +53,7 @@
 	m.requestID = point.requestID
 	s := &session{entry: e, request: m, attempt: point.attempt, events: make(chan streamEvent, eventBuffer)}
 	s.target = chosenTarget{name: point.target, url: url}
-	s.assembler.ResumeAt(point.attempt, point.base, point.offset+1)
+	s.assembler.Restore(point.attempt, point.base, point.offset+1)
 	a := &attempt{entry: e, session: s, number: point.attempt, target: s.target}
 	a.request = &keelv1.GenerateRequest{RequestId: m.requestID, Customer: m.customer}
 	a.request = a.newReattachRequest()
--- a/entry/session.go
+++ b/entry/session.go
@@ -34,12 +34,12 @@
 	resumable bool
 }
 
-func (p *modelRequest) cacheSalt() string {
+func (m *modelRequest) cacheSalt() string {
 	return prefix.Salt{
-		Customer:       p.customer,
-		Model:          p.model,
-		WeightsVersion: p.weights,
-		Adapter:        p.adapter,
+		Customer:       m.customer,
+		Model:          m.model,
+		WeightsVersion: m.weights,
+		Adapter:        m.adapter,
 	}.String()
 }
 
@@ -200,17 +200,17 @@
 	s.attempt++
 	s.attemptCount++
 	s.triedTargets = append(s.triedTargets, target.name)
-	s.assembler.Begin(s.attempt)
+	s.assembler.StartAttempt(s.attempt)
 	return s.entry.newAttempt(s, prompt.Text, chain, salt).run(ctx)
 }
 
 // acceptToken forwards each token once and in order. It returns false if the token
 // leaves a gap, in which case the connection must not be read further.
 func (s *session) acceptToken(ctx context.Context, attempt uint32, t *keelv1.Token) bool {
-	verdict := s.assembler.Take(attempt, int(t.Offset))
+	verdict := s.assembler.Accept(attempt, int(t.Offset))
 	switch verdict {
 	case stream.Next:
-	case stream.Ahead:
+	case stream.Gap:
 		s.entry.metrics.streamEvents.WithLabelValues(string(verdict)).Inc()
 		return false
 	default:
@@ -228,7 +228,7 @@
 		requestID: s.request.requestID,
 		attempt:   s.attempt,
 		target:    s.target.name,
-		base:      s.assembler.Offset() - s.assembler.Resume(),
+		base:      s.assembler.Offset() - s.assembler.AttemptOffset(),
 		offset:    offset,
 	}.String()
 }
