--- a/entry/call.go
+++ b/entry/call.go
@@ -44,7 +44,7 @@
 		path:           "/" + r.PathValue("path"),
 		contentType:    r.Header.Get("Content-Type"),
 		body:           body,
-		idempotencyKey: r.Header.Get(headerIdempotency),
+		idempotencyKey: r.Header.Get(headerIdempotencyKey),
 	}
 	if r.URL.RawQuery != "" {
 		c.path += "?" + r.URL.RawQuery
@@ -78,7 +78,7 @@
 	}
 	defer e.contracts.endRequest(c.info.customer, 0)
 	e.retryBudgets.recordRequest(c.info.customer)
-	call := &pendingCall{entry: e, call: c, request: e.callRequest(c, spec)}
+	call := &pendingCall{entry: e, call: c, request: e.newCallRequest(c, spec)}
 	call.targets = placement.RankTargets(snapshot.TargetsOfService(c.service), call.request.IdempotencyKey)
 	if call.requiresHomeTarget() && len(call.targets) > 1 {
 		call.targets = call.targets[:1]
@@ -90,7 +90,7 @@
 	return answer, nil
 }
 
-func (e *Entry) callRequest(c *serviceCall, spec resource.Service) *keelv1.CallRequest {
+func (e *Entry) newCallRequest(c *serviceCall, spec resource.Service) *keelv1.CallRequest {
 	req := &keelv1.CallRequest{
 		RequestId:      c.info.requestID,
 		Customer:       c.info.customer,
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -25,11 +25,11 @@
 // completionReply is the response to a completion request: a session that has produced
 // its first event.
 type completionReply struct {
-	request    *completionRequest
-	model      *modelRequest
-	session    *session
-	firstEvent streamEvent
-	endRequest func(tokens int)
+	request      *completionRequest
+	modelRequest *modelRequest
+	session      *session
+	firstEvent   streamEvent
+	endRequest   func(tokens int)
 }
 
 // completionEndpoint runs a model request up to its first event. Any refusal before
@@ -55,7 +55,7 @@
 		return nil, s.endError()
 	}
 	e.metrics.firstToken.WithLabelValues(m.model).Observe(time.Since(m.received).Seconds())
-	return &completionReply{request: c, model: m, session: s, firstEvent: first, endRequest: endRequest}, nil
+	return &completionReply{request: c, modelRequest: m, session: s, firstEvent: first, endRequest: endRequest}, nil
 }
 
 func (e *Entry) openSession(ctx context.Context, c *completionRequest, m *modelRequest) (*session, error) {
--- a/entry/choose.go
+++ b/entry/choose.go
@@ -237,7 +237,7 @@
 	e.health.recordSuccess(r.Name)
 	e.rollouts.recordWeights(r.Name, response.Msg.Weights)
 	e.follower.Hint(int64(response.Msg.ConfigRevision))
-	a := placement.Estimate{
+	estimate := placement.Estimate{
 		Ready:           response.Msg.Ready,
 		CachedTokens:    int(response.Msg.CachedTokens),
 		WaitSeconds:     float64(response.Msg.WaitUs) / 1e6,
@@ -246,7 +246,7 @@
 		PenaltySeconds:  e.health.penalty(r.Name).Seconds(),
 	}
 	if r.DataCentre != e.settings.Self.DataCentre {
-		a.NetworkSeconds = e.settings.Routing.OtherDataCentreMS / 1000
+		estimate.NetworkSeconds = e.settings.Routing.OtherDataCentreMS / 1000
 	}
-	return a
+	return estimate
 }
--- a/entry/contracts.go
+++ b/entry/contracts.go
@@ -12,12 +12,12 @@
 // contracts tracks each customer's use of its contract at this entry.
 type contracts struct {
 	mu         sync.Mutex
-	accounts   map[string]*contract.Limiter
+	limiters   map[string]*contract.Limiter
 	entryCount int
 }
 
 func newContracts() *contracts {
-	return &contracts{accounts: map[string]*contract.Limiter{}, entryCount: 1}
+	return &contracts{limiters: map[string]*contract.Limiter{}, entryCount: 1}
 }
 
 // setEntryCount sets the number of entries that share the limits.
@@ -27,19 +27,19 @@
 	c.entryCount = max(1, n)
 }
 
-func (c *contracts) account(name string, spec resource.Customer, now time.Time) *contract.Limiter {
+func (c *contracts) limiter(name string, spec resource.Customer, now time.Time) *contract.Limiter {
 	limits := contract.Limits{
 		RequestsPerSecond: spec.RequestsPerSecond,
 		TokensPerSecond:   spec.TokensPerSecond,
 		Streams:           spec.Streams,
 	}.Share(c.entryCount)
-	a := c.accounts[name]
-	if a == nil {
-		a = contract.NewLimiter(limits)
-		c.accounts[name] = a
+	limiter := c.limiters[name]
+	if limiter == nil {
+		limiter = contract.NewLimiter(limits)
+		c.limiters[name] = limiter
 	}
-	a.SetLimits(limits, now)
-	return a
+	limiter.SetLimits(limits, now)
+	return limiter
 }
 
 // beginRequest admits a request, or refuses it if a limit of the contract is exceeded.
@@ -47,7 +47,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	exceeded, retryAfter := c.account(name, spec, now).Acquire(tokens, now)
+	exceeded, retryAfter := c.limiter(name, spec, now).Acquire(tokens, now)
 	if exceeded == contract.None {
 		return nil
 	}
@@ -59,10 +59,10 @@
 func (c *contracts) endRequest(name string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := c.accounts[name]
-	if a == nil {
+	limiter := c.limiters[name]
+	if limiter == nil {
 		return
 	}
-	a.Charge(tokens, time.Now())
-	a.Release()
+	limiter.Charge(tokens, time.Now())
+	limiter.Release()
 }
--- a/entry/encode.go
+++ b/entry/encode.go
@@ -15,7 +15,7 @@
 // server-sent events, or one JSON object.
 func (e *Entry) encodeCompletion(ctx context.Context, w http.ResponseWriter, response any) error {
 	r := response.(*completionReply)
-	w.Header().Set(headerRequestID, r.model.requestID)
+	w.Header().Set(headerRequestID, r.modelRequest.requestID)
 	if r.request.stream {
 		e.writeStream(ctx, w, r)
 		return nil
@@ -43,7 +43,7 @@
 	for ev := range r.session.events {
 		process(ev)
 	}
-	e.metrics.tokens.WithLabelValues(r.model.customer).Add(float64(tokens))
+	e.metrics.tokens.WithLabelValues(r.modelRequest.customer).Add(float64(tokens))
 	if finished {
 		return nil
 	}
@@ -66,30 +66,30 @@
 		e.encodeError(ctx, err, w)
 		return nil
 	}
-	a := r.newResponse()
-	a.Usage = newUsage(finish)
+	response := r.newResponse()
+	response.Usage = newUsage(finish)
 	content := text.String()
 	if r.request.isChat {
-		a.Object = "chat.completion"
-		a.Choices = []choice{{Message: &chatContent{Role: "assistant", Content: content}, FinishReason: &finish.Reason}}
+		response.Object = "chat.completion"
+		response.Choices = []choice{{Message: &chatContent{Role: "assistant", Content: content}, FinishReason: &finish.Reason}}
 	} else {
-		a.Choices = []choice{{Text: &content, FinishReason: &finish.Reason}}
+		response.Choices = []choice{{Text: &content, FinishReason: &finish.Reason}}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	return json.NewEncoder(w).Encode(a)
+	return json.NewEncoder(w).Encode(response)
 }
 
 func (r *completionReply) newResponse() completionResponse {
-	a := completionResponse{
-		ID:      r.model.requestID,
+	response := completionResponse{
+		ID:      r.modelRequest.requestID,
 		Object:  "text_completion",
-		Created: r.model.received.Unix(),
+		Created: r.modelRequest.received.Unix(),
 		Model:   r.request.model,
 	}
 	if r.request.isChat {
-		a.Object = "chat.completion.chunk"
+		response.Object = "chat.completion.chunk"
 	}
-	return a
+	return response
 }
 
 func newUsage(f *stream.Finish) *usage {
@@ -108,23 +108,23 @@
 	w.Header().Set("Cache-Control", "no-store")
 	out := http.NewResponseController(w)
 	err := e.forEachEvent(r, func(ev streamEvent) {
-		a := r.newResponse()
+		chunk := r.newResponse()
 		if ev.finish == nil {
-			a.Choices = []choice{r.delta(ev)}
+			chunk.Choices = []choice{r.delta(ev)}
 		} else {
-			a.Choices = []choice{r.finalDelta(ev.finish)}
+			chunk.Choices = []choice{r.finalDelta(ev.finish)}
 		}
-		writeEvent(w, ev.id, a)
+		writeEvent(w, ev.id, chunk)
 		if ev.finish != nil && r.request.includeUsage {
-			a.Choices = []choice{}
-			a.Usage = newUsage(ev.finish)
-			writeEvent(w, ev.id, a)
+			chunk.Choices = []choice{}
+			chunk.Usage = newUsage(ev.finish)
+			writeEvent(w, ev.id, chunk)
 		}
 		_ = out.Flush()
 	})
 	if err != nil {
 		e.metrics.refusals.WithLabelValues(string(err.Kind)).Inc()
-		writeEvent(w, "", newErrorBody(err, r.model.requestID))
+		writeEvent(w, "", newErrorBody(err, r.modelRequest.requestID))
 		return
 	}
 	_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
--- a/entry/table.go
+++ b/entry/table.go
@@ -70,74 +70,74 @@
 	return &healthTable{targets: map[string]*targetHealth{}}
 }
 
-func (o *healthTable) target(name string) *targetHealth {
-	if o.targets[name] == nil {
-		o.targets[name] = &targetHealth{}
+func (t *healthTable) target(name string) *targetHealth {
+	if t.targets[name] == nil {
+		t.targets[name] = &targetHealth{}
 	}
-	return o.targets[name]
+	return t.targets[name]
 }
 
-func (o *healthTable) recordFailure(name string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.target(name).health.RecordFailure(time.Now())
+func (t *healthTable) recordFailure(name string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.target(name).health.RecordFailure(time.Now())
 }
 
-func (o *healthTable) recordSuccess(name string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.target(name).health.RecordSuccess()
+func (t *healthTable) recordSuccess(name string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.target(name).health.RecordSuccess()
 }
 
-func (o *healthTable) allowRequest(name string) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.target(name).health.AllowRequest(time.Now())
+func (t *healthTable) allowRequest(name string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.target(name).health.AllowRequest(time.Now())
 }
 
-func (o *healthTable) penalty(name string) time.Duration {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.target(name).health.Penalty(time.Now())
+func (t *healthTable) penalty(name string) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.target(name).health.Penalty(time.Now())
 }
 
-func (o *healthTable) state(name string) health.State {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.target(name).health.State(time.Now())
+func (t *healthTable) state(name string) health.State {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.target(name).health.State(time.Now())
 }
 
-func (o *healthTable) beginAttempt(name string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.target(name).inflight++
+func (t *healthTable) beginAttempt(name string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.target(name).inflight++
 }
 
-func (o *healthTable) endAttempt(name string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.target(name).inflight--
+func (t *healthTable) endAttempt(name string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.target(name).inflight--
 }
 
 // load returns the number of this entry's attempts running at a target, and the mean
 // over targetCount targets.
-func (o *healthTable) load(name string, targetCount int) (int, float64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (t *healthTable) load(name string, targetCount int) (int, float64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	sum := 0
-	for _, other := range o.targets {
+	for _, other := range t.targets {
 		sum += other.inflight
 	}
-	return o.target(name).inflight, float64(sum) / float64(max(1, targetCount))
+	return t.target(name).inflight, float64(sum) / float64(max(1, targetCount))
 }
 
 // retain removes targets that are no longer configured and run no attempts.
-func (o *healthTable) retain(names map[string]string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for name, have := range o.targets {
-		if _, ok := names[name]; !ok && have.inflight == 0 {
-			delete(o.targets, name)
+func (t *healthTable) retain(names map[string]string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for name, target := range t.targets {
+		if _, ok := names[name]; !ok && target.inflight == 0 {
+			delete(t.targets, name)
 		}
 	}
 }
--- a/entry/transport.go
+++ b/entry/transport.go
@@ -44,11 +44,11 @@
 
 // Headers of the client API.
 const (
-	headerRequestID   = "X-Request-Id"
-	headerDeadline    = "X-Deadline-Ms"
-	headerLastEvent   = "Last-Event-ID"
-	headerIdempotency = "Idempotency-Key"
-	bearerPrefix      = "Bearer "
+	headerRequestID      = "X-Request-Id"
+	headerDeadline       = "X-Deadline-Ms"
+	headerLastEventID    = "Last-Event-ID"
+	headerIdempotencyKey = "Idempotency-Key"
+	bearerPrefix         = "Bearer "
 )
 
 // customerHandler returns the HTTP handler of one operation of the client API.
@@ -134,7 +134,7 @@
 	if c.maxTokens == nil {
 		c.maxTokens = body.MaxTokens
 	}
-	return c, c.fromHeaders(ctx, r)
+	return c, c.parseHeaders(ctx, r)
 }
 
 func decodeText(ctx context.Context, r *http.Request) (any, error) {
@@ -152,12 +152,12 @@
 		stream:       body.Stream,
 		includeUsage: body.StreamOptions.IncludeUsage,
 	}
-	return c, c.fromHeaders(ctx, r)
+	return c, c.parseHeaders(ctx, r)
 }
 
-func (c *completionRequest) fromHeaders(ctx context.Context, r *http.Request) error {
+func (c *completionRequest) parseHeaders(ctx context.Context, r *http.Request) error {
 	c.info = requestInfoFrom(ctx)
-	c.lastEventID = r.Header.Get(headerLastEvent)
+	c.lastEventID = r.Header.Get(headerLastEventID)
 	raw := r.Header.Get(headerDeadline)
 	if raw == "" {
 		return nil
