--- a/entry/choose.go
+++ b/entry/choose.go
@@ -56,7 +56,7 @@
 	runners   []placement.Runner
 	ranked    []int32
 	estimates []placement.Estimate
-	// reservation identifies the time that agents reserve for this request.
+	// reservation identifies the reservations that agents make for this request.
 	reservation uint64
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -174,8 +174,8 @@
 const shutdownNotice = 2 * time.Second
 
 // AnnounceShutdown makes /readyz fail, waits until the load balancer has had time to
-// notice, and then ends pending watch requests and the configuration service.
-// Other requests are served meanwhile.
+// notice, and then ends the pending watch requests and configuration long polls.
+// Requests are served meanwhile. It must be called only once.
 func (e *Entry) AnnounceShutdown(ctx context.Context) {
 	e.stopping.Store(true)
 	select {
