--- a/entry/contracts.go
+++ b/entry/contracts.go
@@ -9,60 +9,60 @@
 	"acaciakeel/resource"
 )
 
-// contracts holds each customer's account at this entry.
+// contracts tracks each customer's use of its contract at this entry.
 type contracts struct {
-	mu       sync.Mutex
-	accounts map[string]*contract.Limiter
-	entries  int
+	mu         sync.Mutex
+	limiters   map[string]*contract.Limiter
+	entryCount int
 }
 
 func newContracts() *contracts {
-	return &contracts{accounts: map[string]*contract.Limiter{}, entries: 1}
+	return &contracts{limiters: map[string]*contract.Limiter{}, entryCount: 1}
 }
 
-// setEntries tells how many entries share the limits.
-func (c *contracts) setEntries(n int) {
+// setEntryCount sets the number of entries that share the limits.
+func (c *contracts) setEntryCount(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.entries = max(1, n)
+	c.entryCount = max(1, n)
 }
 
-func (c *contracts) account(name string, spec resource.Customer, now time.Time) *contract.Limiter {
+func (c *contracts) limiter(name string, spec resource.Customer, now time.Time) *contract.Limiter {
 	limits := contract.Limits{
 		RequestsPerSecond: spec.RequestsPerSecond,
 		TokensPerSecond:   spec.TokensPerSecond,
 		Streams:           spec.Streams,
-	}.Share(c.entries)
-	a := c.accounts[name]
-	if a == nil {
-		a = contract.NewLimiter(limits)
-		c.accounts[name] = a
+	}.Share(c.entryCount)
+	limiter := c.limiters[name]
+	if limiter == nil {
+		limiter = contract.NewLimiter(limits)
+		c.limiters[name] = limiter
 	}
-	a.SetLimits(limits, now)
-	return a
+	limiter.SetLimits(limits, now)
+	return limiter
 }
 
-// begin takes a request in, or refuses it.
-func (c *contracts) begin(name string, spec resource.Customer, tokens int) *refusal.Error {
+// beginRequest admits a request, or refuses it if a limit of the contract is exceeded.
+func (c *contracts) beginRequest(name string, spec resource.Customer, tokens int) *refusal.Error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	exceeded, after := c.account(name, spec, now).Acquire(tokens, now)
+	exceeded, retryAfter := c.limiter(name, spec, now).Acquire(tokens, now)
 	if exceeded == contract.None {
 		return nil
 	}
 	return refusal.New(refusal.ContractExceeded, "come back after the time in Retry-After, or ask the operator for a larger contract",
-		"the contract's limit of %s is met", exceeded).WithRetryAfter(after)
+		"the contract's limit of %s is met", exceeded).WithRetryAfter(retryAfter)
 }
 
-// end ends a request, charging the tokens it generated.
-func (c *contracts) end(name string, tokens int) {
+// endRequest ends a request and charges the tokens that it generated.
+func (c *contracts) endRequest(name string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := c.accounts[name]
-	if a == nil {
+	limiter := c.limiters[name]
+	if limiter == nil {
 		return
 	}
-	a.Charge(tokens, time.Now())
-	a.Release()
+	limiter.Charge(tokens, time.Now())
+	limiter.Release()
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -20,7 +20,7 @@
 	"acaciakeel/vm"
 )
 
-// Entry is the process that callers and operators talk to.
+// Entry serves the HTTP requests of clients and operators.
 type Entry struct {
 	settings     Settings
 	log          *logrus.Entry
@@ -30,31 +30,31 @@
 	follower     *configsync.Follower
 	configServer *configsync.Server
 	links        *link.Pool
-	table        atomic.Pointer[table]
-	opinions     *opinions
+	table        atomic.Pointer[routingTable]
+	health       *healthTable
 	contracts    *contracts
-	budget       *budgets
-	incarnations *incarnations
-	rollouts     *rollouts
+	retryBudgets *retryBudgets
+	incarnations *incarnationCache
+	rollouts     *rolloutTracker
 	stopping     atomic.Bool
-	// configured closes when the first configuration is in force, stopped when
-	// the last requests are to end.
+	// configured is closed when the first configuration is applied, stopped when
+	// waiting watch requests must end.
 	configured chan struct{}
 	stopped    chan struct{}
 }
 
-// New returns an entry that has not begun to run.
+// New returns an entry. Run starts it.
 func New(s Settings, log *logrus.Logger) *Entry {
 	e := &Entry{
 		settings:     s,
 		log:          log.WithField("entry", s.Self.Name),
 		registry:     telemetry.NewRegistry(),
 		links:        link.NewPool(link.Options{}),
-		opinions:     newOpinions(),
+		health:       newHealthTable(),
 		contracts:    newContracts(),
-		budget:       newBudgets(s.Routing.RetryRatio),
-		incarnations: newIncarnations(),
-		rollouts:     newRollouts(),
+		retryBudgets: newRetryBudgets(s.Routing.RetryRatio),
+		incarnations: newIncarnationCache(),
+		rollouts:     newRolloutTracker(),
 		configured:   make(chan struct{}),
 		stopped:      make(chan struct{}),
 	}
@@ -67,17 +67,17 @@
 		Store:      client,
 		Directory:  store.NewVMList(s.Platform.URL),
 		Links:      e.links,
-		OnEvent:    e.configEvent,
+		OnEvent:    e.onConfigEvent,
 	})
 	e.configServer = configsync.NewServer(e.follower)
-	e.table.Store(newTable(e.follower.State()))
+	e.table.Store(newRoutingTable(e.follower.State()))
 	e.registerGauges()
 	return e
 }
 
-func (e *Entry) configEvent(event string, err error) {
+func (e *Entry) onConfigEvent(event string, err error) {
 	e.metrics.configEvents.WithLabelValues(event).Inc()
-	e.log.WithError(err).WithField("event", event).Debug("following the configuration failed")
+	e.log.WithError(err).WithField("event", event).Debug("failed to update the configuration")
 }
 
 func (e *Entry) registerGauges() {
@@ -90,7 +90,7 @@
 	})
 }
 
-// Run keeps the entry current until ctx ends.
+// Run applies each new configuration state until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
 	go e.follower.Run(ctx)
 	for {
@@ -104,32 +104,32 @@
 	}
 }
 
-// applyState swaps the routing table for that of the current state.
+// applyState replaces the routing table with one built from the current state.
 func (e *Entry) applyState() {
-	t := newTable(e.follower.State())
+	t := newRoutingTable(e.follower.State())
 	old := e.table.Swap(t)
 	if old.snapshot().Revision == 0 && t.snapshot().Revision > 0 {
 		close(e.configured)
 	}
-	e.contracts.setEntries(t.state.Count(vm.Entry))
-	e.opinions.keep(t.agentURL)
+	e.contracts.setEntryCount(t.state.Count(vm.Entry))
+	e.health.retain(t.agentURL)
 	if old.snapshot().Revision != t.snapshot().Revision {
 		e.log.WithFields(logrus.Fields{
 			"event":    "config_applied",
 			"revision": t.snapshot().Revision,
 			"targets":  len(t.agentURL),
-		}).Info("configuration in force")
+		}).Info("configuration applied")
 	}
 }
 
-// Handler serves callers, operators, the system's own messages, /metrics,
-// /healthz and /readyz.
+// Handler serves the client API, the operator API, the configuration service of
+// other processes, /metrics, /healthz and /readyz.
 func (e *Entry) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /v1/chat/completions", e.server("chat", e.completionEndpoint, decodeChat, e.encodeReply))
-	mux.Handle("POST /v1/completions", e.server("completion", e.completionEndpoint, decodeText, e.encodeReply))
-	mux.Handle("GET /v1/models", e.server("models", e.modelsEndpoint, decodeNothing, encodeJSON))
-	mux.Handle("/services/{service}/{path...}", e.server("call", e.callEndpoint, decodeCall, encodeCall))
+	mux.Handle("POST /v1/chat/completions", e.customerHandler("chat", e.completionEndpoint, decodeChat, e.encodeCompletion))
+	mux.Handle("POST /v1/completions", e.customerHandler("completion", e.completionEndpoint, decodeText, e.encodeCompletion))
+	mux.Handle("GET /v1/models", e.customerHandler("models", e.modelsEndpoint, decodeNothing, encodeJSON))
+	mux.Handle("/services/{service}/{path...}", e.customerHandler("call", e.callEndpoint, decodeCall, encodeCall))
 	mux.Handle(keelv1connect.NewConfigServiceHandler(e.configServer))
 	e.addOperatorRoutes(mux)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(e.registry, promhttp.HandlerOpts{}))
@@ -138,19 +138,19 @@
 	return mux
 }
 
-// configWait is how long a request waits for an entry's first configuration.
-const configWait = 3 * time.Second
+// configTimeout limits how long a request waits for the first configuration.
+const configTimeout = 3 * time.Second
 
-// awaitConfig holds a request back until the entry has a configuration. An
-// entry that has just started knows no customer yet: to answer "no customer
-// has this key" would be false, and a restarted entry is to serve at once.
+// awaitConfig waits until the entry has a configuration. Before that the entry knows
+// no customers and would wrongly reject valid keys. Waiting also lets a restarted
+// entry accept requests immediately.
 func (e *Entry) awaitConfig(ctx context.Context) error {
 	select {
 	case <-e.configured:
 		return nil
 	default:
 	}
-	ctx, cancel := context.WithTimeout(ctx, configWait)
+	ctx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
 	select {
 	case <-e.configured:
@@ -169,19 +169,20 @@
 	}
 }
 
-// stopNotice is how long an entry serves on after it has begun to say "not
-// ready", so that the balancer sends nothing to a closed door.
-const stopNotice = 2 * time.Second
+// shutdownNotice is how long an entry keeps serving after /readyz starts to fail, so
+// that the load balancer stops sending requests before the listener closes.
+const shutdownNotice = 2 * time.Second
 
-// AnnounceShutdown makes the entry tell the balancer that it leaves, and returns once
-// the balancer has had time to notice. Requests are served all the while.
+// AnnounceShutdown makes /readyz fail, waits until the load balancer has had time to
+// notice, and then ends the pending watch requests and configuration long polls.
+// Requests are served meanwhile. It must be called only once.
 func (e *Entry) AnnounceShutdown(ctx context.Context) {
 	e.stopping.Store(true)
 	select {
-	case <-time.After(stopNotice):
+	case <-time.After(shutdownNotice):
 	case <-ctx.Done():
 	}
-	// Requests that only wait for changes end here.
+	// End the requests that only wait for configuration changes.
 	close(e.stopped)
 	e.configServer.Stop()
 }
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -9,15 +9,15 @@
 	"acaciakeel/refusal"
 )
 
-// resumePoint is what an event's id says, so that a caller can go on reading
-// through any entry: which attempt at which target, and where in the stream.
+// resumePoint is the content of an event id. It names the attempt, the target and the
+// position in the stream, so that a client can resume the stream at any entry.
 type resumePoint struct {
 	requestID string
 	attempt   uint32
 	target    string
-	// base is the stream's offset at which the attempt began.
+	// base is the offset in the stream at which the attempt started.
 	base int
-	// offset is the event's own.
+	// offset is the offset of the event in the stream.
 	offset int
 }
 
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s/%d/%s/%d/%d", p.requestID, p.attempt, p.target, p.base, p.offset)
 }
 
-// resumeFields is how many fields an event id has.
+// resumeFields is the number of fields in an event id.
 const resumeFields = 5
 
 func parseResumePoint(id string) (resumePoint, error) {
@@ -42,21 +42,21 @@
 	return p, nil
 }
 
-// resumeSession goes on with a stream that another entry began. Only the
-// agent of the attempt has its text, so there is no other runner to go on at.
-func (e *Entry) resumeSession(ctx context.Context, p *plan, point resumePoint) (*session, *refusal.Error) {
+// resumeSession resumes a stream that may have been started by another entry. Only
+// the attempt's agent holds its text, so the stream can't continue at another runner.
+func (e *Entry) resumeSession(ctx context.Context, m *modelRequest, point resumePoint) (*session, *refusal.Error) {
 	url, ok := e.table.Load().agentURL[point.target]
 	if !ok {
 		return nil, refusal.New(refusal.ResumeUnavailable, "send the request again without Last-Event-ID",
 			"target %q of the stream is not configured", point.target)
 	}
-	p.requestID = point.requestID
-	s := &session{entry: e, plan: p, attempt: point.attempt, events: make(chan event, eventBuffer)}
-	s.target = chosen{name: point.target, url: url}
+	m.requestID = point.requestID
+	s := &session{entry: e, request: m, attempt: point.attempt, events: make(chan streamEvent, eventBuffer)}
+	s.target = chosenTarget{name: point.target, url: url}
 	s.assembler.Restore(point.attempt, point.base, point.offset+1)
 	a := &attempt{entry: e, session: s, number: point.attempt, target: s.target}
-	a.request = &keelv1.GenerateRequest{RequestId: p.requestID, Customer: p.customer}
-	a.request = a.reattach()
+	a.request = &keelv1.GenerateRequest{RequestId: m.requestID, Customer: m.customer}
+	a.request = a.newReattachRequest()
 	go func() {
 		defer close(s.events)
 		s.err = a.run(ctx)
