--- a/agent/agent.go
+++ b/agent/agent.go
@@ -136,7 +136,7 @@
 
 func (a *Agent) recordConfigEvent(event string, err error) {
 	a.metrics.configEvents.WithLabelValues(event).Inc()
-	a.log.WithError(err).WithField("event", event).Debug("failed to follow the configuration")
+	a.log.WithError(err).WithField("event", event).Debug("failed to update the configuration")
 }
 
 func (a *Agent) registerGauges() {
