--- a/peering/peering.go
+++ b/peering/peering.go
@@ -1,10 +1,10 @@
 // Package peering divides the nodes into groups. The members of a group send their
-// updates to each other, and a few of them relay summaries between groups. The package
+// updates to each other, and a few of them relay digests between groups. The package
 // is deterministic and has no side effects: every node computes the same plan from the
 // same list of members, so that no coordination is needed.
 //
 // With a full mesh each of n nodes would send and receive n updates a round. With
-// groups it is the size of one group plus one summary of each other group.
+// groups it is the size of one group plus one digest of each other group.
 package peering
 
 import (
