--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -50,8 +50,9 @@
 	}
 }
 
-// Twenty processes with 20 accumulated retries each retried at once after a quiet
-// period: they sent 651 where their shared limit allowed 624.
+// Twenty processes share a limit of 82 retries beyond a fifth of the requests in any
+// ten seconds. A rollout makes all of them retry at once after a quiet period: with 20
+// accumulated retries each, they sent 651 where 624 were allowed.
 func TestSharedBudgetInBurst(t *testing.T) {
 	const (
 		processes = 20
