--- a/agent/call.go
+++ b/agent/call.go
@@ -140,10 +140,10 @@
 func (c *callExecutor) callAtMostOnce(ctx context.Context, req *keelv1.CallRequest) *keelv1.CallResponse {
 	key := ledgerKey(req)
 	c.mu.Lock()
-	verdict, record := c.ledger.Begin(key, ledger.Attempt{RequestID: req.RequestId, Number: req.Attempt}, bodyHash(req), time.Now())
+	decision, record := c.ledger.Begin(key, ledger.Attempt{RequestID: req.RequestId, Number: req.Attempt}, bodyHash(req), time.Now())
 	c.mu.Unlock()
-	c.metrics.calls.WithLabelValues(string(verdict)).Inc()
-	switch verdict {
+	c.metrics.calls.WithLabelValues(string(decision)).Inc()
+	switch decision {
 	case ledger.Run:
 		// The call continues if its entry disconnects, because later attempts with the
 		// same key need its outcome.
--- a/entry/session.go
+++ b/entry/session.go
@@ -207,14 +207,14 @@
 // acceptToken forwards each token once and in order. It returns false if the token
 // leaves a gap, in which case the connection must not be read further.
 func (s *session) acceptToken(ctx context.Context, attempt uint32, t *keelv1.Token) bool {
-	verdict := s.assembler.Accept(attempt, int(t.Offset))
-	switch verdict {
+	status := s.assembler.Accept(attempt, int(t.Offset))
+	switch status {
 	case stream.Next:
 	case stream.Gap:
-		s.entry.metrics.streamEvents.WithLabelValues(string(verdict)).Inc()
+		s.entry.metrics.streamEvents.WithLabelValues(string(status)).Inc()
 		return false
 	default:
-		s.entry.metrics.streamEvents.WithLabelValues(string(verdict)).Inc()
+		s.entry.metrics.streamEvents.WithLabelValues(string(status)).Inc()
 		return true
 	}
 	s.sentText = append(s.sentText, t.Text...)
