--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -102,13 +102,13 @@
 	MaxConns int
 	// Engine is nil for plain services.
 	Engine *Engine
-	// KVStore is the address of a KV cache store, which is not a target; empty
+	// KVCacheStore is the address of a KV cache store, which is not a target; empty
 	// for other services. Zone is the store's data centre, KVTokens its capacity
 	// in tokens and KVLinkMbps its link bandwidth.
-	KVStore    string
-	Zone       string
-	KVTokens   int
-	KVLinkMbps float64
+	KVCacheStore string
+	Zone         string
+	KVTokens     int
+	KVLinkMbps   float64
 }
 
 // Customer is a customer with its keys and limit.
--- a/node/view.go
+++ b/node/view.go
@@ -115,8 +115,8 @@
 	v.config.Store(c)
 	var stores []fleet.KVCacheStore
 	for _, s := range c.Services {
-		if s.KVStore != "" {
-			stores = append(stores, fleet.KVCacheStore{Address: s.KVStore, Capacity: s.KVTokens, Zone: s.Zone, LinkMbps: s.KVLinkMbps})
+		if s.KVCacheStore != "" {
+			stores = append(stores, fleet.KVCacheStore{Address: s.KVCacheStore, Capacity: s.KVTokens, Zone: s.Zone, LinkMbps: s.KVLinkMbps})
 		}
 	}
 	v.fleet.SetStores(stores)
