--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -41,6 +41,7 @@
 	AlwaysIsolate bool
 	Avoid         []Instance
 
+	// long and light are set by Choose; see isLong and isLight.
 	long  bool
 	light bool
 }
@@ -99,9 +100,10 @@
 	// charged for the parts that they evict from the target's cache and that other
 	// requests may need.
 	evictionCostFactor = 0.5
-	// maxCompared is how many of the ranked targets are compared: beyond these the rank
-	// means nothing, and the load evens out among them. minCompared is the least number
-	// compared, however many decisions of other processes are unknown.
+	// maxCompared is how many of the ranked targets are compared at most: the ranking says
+	// nothing about targets further down, and the load evens out among this many.
+	// minCompared is the least number compared, however many recent choices of other
+	// processes are unknown here; see comparedCount.
 	maxCompared = 24
 	minCompared = 6
 )
@@ -246,7 +248,8 @@
 		estimates[i].PenaltySeconds += mismatchCost(q, reserved, at, prefill, heavy).Seconds()
 		if first && s.totalOccupancy(now).Long == 0 && (len(reserved) == 0 || reserved[at] == q.light) {
 			// Every process sends a prefix to the first target of its ranking that has no
-			// long runs, so what this process does not know of is likely cached there.
+			// long runs, so part of the prefix is likely cached there even if this process
+			// has not learned of it. Half of it is assumed.
 			estimates[i].CachedTokens = max(estimates[i].CachedTokens, sharedTokens(chain)/2)
 			first = false
 		}
@@ -289,7 +292,8 @@
 	c.Source, c.FetchTokens, c.Transfer = from.source, from.tokens, from.transfer
 	if c.Source == "" && c.SharedTokens >= minTransferTokens && c.CachedTokens < c.SharedTokens {
 		// No target is known to hold more, but another process may just have had the
-		// prompt prefilled and saved. A miss costs a millisecond.
+		// prompt prefilled and saved in a store. Asking a store that lacks it costs a
+		// millisecond.
 		c.Source, _ = f.storeFor(c.Chain.Levels[len(c.Chain.Levels)-1].Hash)
 	}
 	c.SaveTo = f.saveTo(c.Chain, s.target.ID, now)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -27,14 +27,15 @@
 	// tokens of those that have had no first event yet.
 	inflight      int
 	prefillTokens int
-	// long counts those that hold a slot for seconds.
+	// long counts those requests that are expected to hold a slot for seconds, longer than a
+	// load of weights takes; see isLong.
 	long int
-	// resumable counts those that another target could continue.
+	// resumable counts those requests that another target could continue.
 	resumable int
-	// heldTokens is the memory that they hold, in tokens.
+	// heldTokens is the memory that this process's requests hold at the target, in tokens.
 	heldTokens int
-	// peerLoads is the load that each other process of the group reported, groupLoads the
-	// combined load of each other group.
+	// peerLoads is the load that each other process of this one's peering group reported,
+	// groupLoads the combined load of each other peering group.
 	peerLoads  map[string]timedOccupancy
 	groupLoads map[int]timedOccupancy
 	load       Load
@@ -88,10 +89,10 @@
 	members  members
 	zone     string
 	disabled policy.Disabled
-	// peerReports are the processes of the group that reported their load recently.
+	// peerReports are the processes of the peering group that reported their load recently.
 	peerReports map[string]*peerReport
-	// peerInterval is the interval between load reports of the group's other processes,
-	// groupInterval that between reports of the other groups.
+	// peerInterval is the interval between load reports of the other processes of the peering
+	// group, groupInterval that between reports of the other peering groups.
 	peerInterval  reportInterval
 	groupInterval reportInterval
 	// onRestart is called with each later instance of a target and the one that it
@@ -100,7 +101,7 @@
 	// onEnd is called with each instance that was observed to have ended.
 	onEnd func(Instance)
 	// limiter enforces the limits that targets declare; nil enforces none. limitsChanged
-	// is set when it has to get them anew.
+	// is set while the limits that it enforces are out of date.
 	limiter       *quota.Limiter
 	limitsChanged bool
 	// shutdowns are the instances that announced their shutdown, by target ID.
--- a/node/node.go
+++ b/node/node.go
@@ -30,7 +30,9 @@
 	"acaciakeel/verdicts"
 )
 
-// Node is one process of the system.
+// Node is one process of the system. It answers client requests through the router, follows
+// the platform's store, shares what it knows of the targets with the other nodes and, while it
+// is the leader, sends load orders to the runners.
 type Node struct {
 	settings     platform.NodeSettings
 	log          logrus.FieldLogger
@@ -85,9 +87,9 @@
 const (
 	// watchTimeout is how long the store holds a watch open without changes, and so how often
 	// it confirms the view. API keys are trusted until the deployment's bound after the last
-	// confirmation, less staleMargin. The other members of the group depend on the same watch:
-	// a confirmation reaches them after one watch, one send and one update interval, and must
-	// do so well before they would query the store themselves.
+	// confirmation, less staleMargin. One member of a peering group watches for all (see
+	// watchShare): a confirmation reaches the others after one watch, one send and one update
+	// interval, and must do so well before they would query the store themselves.
 	watchTimeout = 500 * time.Millisecond
 	// batchDelay is the pause after a change before the next watch, so that changes arriving
 	// together cost one call; a configuration has seconds to take effect.
--- a/rollout/controller.go
+++ b/rollout/controller.go
@@ -40,7 +40,7 @@
 	Client     RunnerClient
 	Fleet      *fleet.Fleet
 	Services   ServicesByModel
-	// Notify is called after a change that the other entries need at once: until they
+	// Notify is called after a change that the other nodes need at once: until they
 	// know of it, they send requests to a runner that refuses them.
 	Notify  func()
 	Metrics *Metrics
@@ -49,7 +49,8 @@
 	MaxStaleness time.Duration
 }
 
-// Controller sends load orders to runners while this process is the leader.
+// Controller sends load orders to runners while this process is the leader: orders to load
+// the desired version of a model's weights, a limited number of runners at a time.
 type Controller struct {
 	name         string
 	leadership   Leadership
@@ -62,7 +63,7 @@
 	waits        waitReporter
 	maxStaleness time.Duration
 
-	// truncationDisabled is set once the other entries no longer report to this process
+	// truncationDisabled is set once the other nodes no longer report to this process
 	// which requests they have at runners.
 	truncationDisabled atomic.Bool
 
@@ -93,7 +94,7 @@
 }
 
 // DisableTruncation makes runners finish their streams before they load weights. It is
-// called when the other entries no longer report their streams to this process: streams
+// called when the other nodes no longer report their streams to this process: streams
 // that cannot be resumed elsewhere would be cut off.
 func (c *Controller) DisableTruncation() {
 	c.truncationDisabled.Store(true)
@@ -200,7 +201,7 @@
 // Timing of one runner's update.
 const (
 	// firstPollDelay is the time from sending an order to the first poll of the runner:
-	// the shortest load. pollInterval is the pause between polls.
+	// no load takes less. pollInterval is the pause between polls.
 	firstPollDelay = 450 * time.Millisecond
 	pollInterval   = 150 * time.Millisecond
 	// orderTimeout is the time after which an order is considered lost.
@@ -274,7 +275,7 @@
 // Timing of the truncation of long runs.
 const (
 	// drainCheckInterval is how long a runner is kept free of new requests between
-	// checks whether only resumable runs are left. In that time the other entries learn
+	// checks whether only resumable runs are left. In that time the other nodes learn
 	// of it and short runs end.
 	drainCheckInterval = 300 * time.Millisecond
 	// drainChecks is the number of checks before the runs are left to end on their own.
--- a/router/router.go
+++ b/router/router.go
@@ -30,7 +30,7 @@
 	Fresh() bool
 }
 
-// Bounds limits how long outdated weights may be used after newer ones are wanted. The
+// Bounds limits how long outdated weights may be used after newer ones are desired. The
 // deployment sets it.
 type Bounds struct {
 	// MaxStaleness is the time during which requests may still be sent to targets with the
--- a/router/session.go
+++ b/router/session.go
@@ -46,7 +46,7 @@
 	sentAt          time.Time
 	shuttingDownFor time.Duration
 	backoffLeft     time.Duration
-	// staleness is for how long newer weights had been wanted than those of the target of
+	// staleness is for how long newer weights had been desired than those of the target of
 	// the last attempt: when it was sent, and at its first event.
 	staleness struct{ atSend, atFirstEvent time.Duration }
 	// tracked registers the request under its content fingerprint. decision is the poison
--- a/router/shutdown.go
+++ b/router/shutdown.go
@@ -13,7 +13,7 @@
 var ErrShutdown = errors.New("the process ends")
 
 // shutdownRetryAfter is the Retry-After value of an entry that is stopping. It is short
-// because other entries still serve, and a new connection leads to one of them.
+// because other nodes still serve, and a new connection leads to one of them.
 const shutdownRetryAfter = 100 * time.Millisecond
 
 // SetShutdownDeadline announces when the process stops. Requests that are not expected to end
--- a/router/start_guard.go
+++ b/router/start_guard.go
@@ -15,7 +15,7 @@
 // startGuard withdraws a request that has not started at its target before the weights there
 // become too old. The choice of a target only checks the weights at the time of sending; the
 // request may then wait at the target for longer than expected and start on weights that were
-// replaced too long ago. Newer weights may also become wanted while it waits, so the guard
+// replaced too long ago. Newer weights may also become desired while it waits, so the guard
 // checks the staleness again whenever it may have reached the limit.
 type startGuard struct {
 	fleet        *fleet.Fleet
--- a/verdicts/syncer.go
+++ b/verdicts/syncer.go
@@ -27,7 +27,7 @@
 	// Table holds the process's verdicts and suspicions.
 	Table *poison.Table
 	// Leadership tells whether this process writes verdicts for processes that have ended.
-	// PublishNow sends pending reports to the other entries at once. Both must be set before
+	// PublishNow sends pending reports to the other nodes at once. Both must be set before
 	// the syncer is used.
 	Leadership rollout.Leadership
 	PublishNow func()
