--- a/telemetry/lines.go
+++ b/telemetry/lines.go
@@ -6,23 +6,26 @@
 	"time"
 )
 
-// Lines writes log lines from a goroutine of its own, so that whoever logs
-// never waits for the reader. Lines beyond what fits are dropped and counted.
+// Lines is an asynchronous log writer. A background goroutine performs the
+// output, so callers never block on a slow reader. Lines that do not fit in
+// the queue are dropped and counted.
 type Lines struct {
 	out     io.Writer
 	queue   chan []byte
 	dropped atomic.Int64
-	// flush asks for everything written before; it is answered by closing it.
+	// flush carries flush requests; run closes the received channel once the
+	// queued lines have been written.
 	flush chan chan struct{}
-	// batch is what goes out in one write; only run's goroutine uses it.
+	// batch is the buffer of the current write; only run's goroutine uses it.
 	batch []byte
 }
 
-// queuedLines is how many lines wait for the writer: about a second of a busy
-// process, a few hundred kilobytes at most.
+// queuedLines is the capacity of the queue: about one second of output of a
+// busy process, at most a few hundred kilobytes.
 const queuedLines = 1024
 
-// NewLines returns a writer to out; it runs for the life of the process.
+// NewLines returns a Lines that writes to out and starts its goroutine, which
+// runs until the process exits.
 func NewLines(out io.Writer) *Lines {
 	l := &Lines{out: out, queue: make(chan []byte, queuedLines), flush: make(chan chan struct{})}
 	go l.run()
@@ -39,27 +42,28 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were lost.
+// Dropped returns the number of lines dropped because the queue was full.
 func (l *Lines) Dropped() int64 {
 	return l.dropped.Load()
 }
 
-// batchBytes bounds the lines that go out in one write.
+// batchBytes limits the size of one write: no line is added to a batch that has
+// reached it.
 const batchBytes = 32 << 10
 
-// Flush waits until the lines written so far are out, for a time at most: a
-// process that ends would take the lines of its end along.
-func (l *Lines) Flush(most time.Duration) {
-	timer := time.NewTimer(most)
+// Flush waits until the lines queued so far have been written, or until timeout.
+// Call it before the process exits; otherwise its last log lines are lost.
+func (l *Lines) Flush(timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
-	out := make(chan struct{})
+	done := make(chan struct{})
 	select {
-	case l.flush <- out:
+	case l.flush <- done:
 	case <-timer.C:
 		return
 	}
 	select {
-	case <-out:
+	case <-done:
 	case <-timer.C:
 	}
 }
@@ -69,14 +73,14 @@
 		select {
 		case line := <-l.queue:
 			l.write(line)
-		case out := <-l.flush:
+		case done := <-l.flush:
 			l.drain()
-			close(out)
+			close(done)
 		}
 	}
 }
 
-// drain writes the lines that wait.
+// drain writes all queued lines.
 func (l *Lines) drain() {
 	for {
 		select {
@@ -88,7 +92,7 @@
 	}
 }
 
-// write writes a line and those that wait behind it, up to a batch.
+// write writes line together with the lines queued after it, up to batchBytes.
 func (l *Lines) write(line []byte) {
 	l.batch = append(l.batch[:0], line...)
 	for more := true; more && len(l.batch) < batchBytes; {
@@ -99,6 +103,6 @@
 			more = false
 		}
 	}
-	// Whoever reads the logs may be gone; serving goes on.
+	// A write error is ignored: the process keeps serving if the log reader has exited.
 	_, _ = l.out.Write(l.batch)
 }
--- a/telemetry/lines_test.go
+++ b/telemetry/lines_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-// stuck is a reader of logs that has stopped reading.
-type stuck struct{ begun chan struct{} }
+// blockedWriter blocks in Write forever, like a pipe whose reader has stopped.
+type blockedWriter struct{ started chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
-	s.begun <- struct{}{}
+func (s blockedWriter) Write(p []byte) (int, error) {
+	s.started <- struct{}{}
 	select {}
 }
 
-// Whoever reads the logs stops. Requests must not wait for it: lines beyond the
-// queue are dropped and counted.
+// Guards against requests blocking on logging when the log reader stops: lines
+// that do not fit in the queue must be dropped and counted.
 func TestLinesNeverBlock(t *testing.T) {
-	out := stuck{begun: make(chan struct{})}
+	out := blockedWriter{started: make(chan struct{})}
 	l := NewLines(out)
 	fmt.Fprintln(l, "first")
-	<-out.begun
+	<-out.started
 	for range queuedLines + 10 {
 		fmt.Fprintln(l, "more")
 	}
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry sets up a daemon's logs and metrics: one key=value line
-// an event, and counters by reason.
+// Package telemetry sets up the logging and metrics of a daemon: one key=value
+// log line per event, and Prometheus metrics, with counters labelled by reason.
 package telemetry
 
 import (
@@ -32,7 +32,7 @@
 	return log
 }
 
-// NewRegistry returns a registry with the process's own metrics.
+// NewRegistry returns a registry with the Go runtime and process collectors.
 func NewRegistry() *prometheus.Registry {
 	r := prometheus.NewRegistry()
 	r.MustRegister(
@@ -42,43 +42,45 @@
 	return r
 }
 
-// NewCounter makes and registers a counter by labels.
+// NewCounter creates and registers a counter with the given labels.
 func NewCounter(r *prometheus.Registry, name, help string, labels ...string) *prometheus.CounterVec {
 	c := prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
 	r.MustRegister(c)
 	return c
 }
 
-// NewGaugeFunc registers a gauge that is read when scraped.
+// NewGaugeFunc registers a gauge whose value is obtained from read at each scrape.
 func NewGaugeFunc(r *prometheus.Registry, name, help string, read func() float64) {
 	r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 }
 
-// latencyBuckets are in seconds, dense around the targets of half a second
-// to the first token and tens of milliseconds between tokens.
+// latencyBuckets are in seconds, with a finer resolution around the latency
+// goals: half a second to the first token, tens of milliseconds between tokens.
 var latencyBuckets = []float64{
 	0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.031, 0.05, 0.1, 0.2, 0.3, 0.4, 0.52, 0.75, 1, 2, 5, 10, 30,
 }
 
-// NewGauge makes and registers a gauge by labels.
+// NewGauge creates and registers a gauge with the given labels.
 func NewGauge(r *prometheus.Registry, name, help string, labels ...string) *prometheus.GaugeVec {
 	g := prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: name, Help: help}, labels)
 	r.MustRegister(g)
 	return g
 }
 
-// ageBuckets are in seconds, even around the bounds within which a change is in
-// force everywhere.
+// ageBuckets are in seconds, in even steps around the time limits within which a
+// change takes effect in all processes.
 var ageBuckets = []float64{0.25, 0.5, 1, 1.5, 2, 3, 4, 6, 8, 10, 12, 15, 20, 30}
 
-// NewAges makes and registers a histogram of how old what was used is, in seconds.
+// NewAges creates and registers a histogram of staleness: the age, in seconds, of
+// the data in use.
 func NewAges(r *prometheus.Registry, name, help string) prometheus.Histogram {
 	h := prometheus.NewHistogram(prometheus.HistogramOpts{Name: name, Help: help, Buckets: ageBuckets})
 	r.MustRegister(h)
 	return h
 }
 
-// NewLatency makes and registers a histogram of seconds by labels.
+// NewLatency creates and registers a latency histogram, in seconds, with the given
+// labels.
 func NewLatency(r *prometheus.Registry, name, help string, labels ...string) *prometheus.HistogramVec {
 	h := prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: name, Help: help, Buckets: latencyBuckets}, labels)
 	r.MustRegister(h)
