--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the daemons' TOML files. Unknown keys are refused,
-// and every mistake is reported at once with its file, key, what was found
-// and the remedy.
+// Package settings reads the daemons' TOML files. Unknown keys are rejected, and
+// all problems of a file are reported together, each with the file, the key, the
+// value found and a remedy.
 package settings
 
 import (
@@ -17,19 +17,19 @@
 	"acaciakeel/vm"
 )
 
-// Validator is a settings type that checks itself.
+// Validator is implemented by settings types that can check their own values.
 type Validator interface {
-	// Validate adds every mistake to the list.
+	// Validate adds each problem found to ps. It may also fill in defaults.
 	Validate(ps *problem.List)
 }
 
-// FileError is every mistake in one file.
+// FileError reports all problems found in one settings file.
 type FileError struct {
 	File     string
 	Problems problem.List
 }
 
-// Error implements error, one mistake a line.
+// Error implements error, with one problem per line.
 func (e *FileError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, p := range e.Problems {
@@ -38,9 +38,10 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads file into into, which holds the defaults, and checks it.
-func Load(file string, into Validator) error {
-	meta, err := toml.DecodeFile(file, into)
+// Load decodes the TOML file into dst, which holds the defaults, and validates the
+// result.
+func Load(file string, dst Validator) error {
+	meta, err := toml.DecodeFile(file, dst)
 	if err != nil {
 		return parseError(file, err)
 	}
@@ -48,7 +49,7 @@
 	for _, key := range meta.Undecoded() {
 		ps.Add(key.String(), "remove it or correct its spelling; see the file of this name under examples/", "an unknown key")
 	}
-	into.Validate(&ps)
+	dst.Validate(&ps)
 	if len(ps) > 0 {
 		return &FileError{File: file, Problems: ps}
 	}
@@ -71,15 +72,15 @@
 	}}}
 }
 
-// Self is what a process learns of its own place from its settings.
+// Self holds the settings that identify a process: its VM, addresses and location.
 type Self struct {
 	// Name is the VM's name in the platform's list.
 	Name string `toml:"name"`
-	// Listen is where the process serves, IP:PORT.
+	// Listen is the address that the process serves on, as IP:PORT.
 	Listen string `toml:"listen"`
-	// URL is where other processes reach it. Default "http://" + Listen.
+	// URL is the address at which other processes reach it. Default "http://" + Listen.
 	URL string `toml:"url"`
-	// DataCentre and Region say where the VM stands.
+	// DataCentre and Region are the location of the VM.
 	DataCentre string `toml:"data_centre"`
 	Region     string `toml:"region"`
 }
@@ -99,7 +100,7 @@
 	}
 }
 
-// VM returns the VM that the settings describe.
+// VM returns the VM described by the settings, with the given role.
 func (s *Self) VM(role vm.Role) vm.VM {
 	return vm.VM{
 		Name:       s.Name,
@@ -109,12 +110,12 @@
 	}
 }
 
-// Platform is where the platform's service is.
+// Platform holds the addresses at which a process reaches the platform's service.
 type Platform struct {
-	// URL of the key-value service and the list of VMs.
+	// URL is the base URL of the key-value service and of the list of VMs.
 	URL string `toml:"url"`
-	// Neighbours are URLs of a few other processes of the system, which give a
-	// starting process its configuration while the service is down.
+	// Neighbours are the URLs of a few other processes of the system, from which a
+	// starting process obtains its configuration while the service is down.
 	Neighbours []string `toml:"neighbours"`
 }
 
@@ -126,12 +127,13 @@
 	}
 }
 
-// Log is how a daemon logs.
+// Log holds the logging settings of a daemon.
 type Log struct {
 	// Level is debug, info, warning or error. Default info.
 	Level string `toml:"level"`
 }
 
+// levels are the accepted values of Log.Level; empty selects the default.
 var levels = []string{"", "debug", "info", "warning", "error"}
 
 // Validate implements Validator.
@@ -144,7 +146,7 @@
 	ps.Add("log.level", "use debug, info, warning or error", "%q", l.Level)
 }
 
-// CheckAddress adds a mistake unless value is IP:PORT.
+// CheckAddress adds a problem unless value is IP:PORT.
 func CheckAddress(ps *problem.List, field, value string) {
 	host, _, err := net.SplitHostPort(value)
 	if err != nil || net.ParseIP(host) == nil {
@@ -152,7 +154,7 @@
 	}
 }
 
-// CheckURL adds a mistake unless value is an http or https URL with a host.
+// CheckURL adds a problem unless value is an http or https URL with a host.
 func CheckURL(ps *problem.List, field, value string) {
 	u, err := url.Parse(value)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
@@ -160,14 +162,14 @@
 	}
 }
 
-// CheckPositive adds a mistake unless value is above 0.
+// CheckPositive adds a problem unless value is greater than 0.
 func CheckPositive(ps *problem.List, field string, value float64) {
 	if value <= 0 {
 		ps.Add(field, "use a number above 0, or leave it out for the default", "%v", value)
 	}
 }
 
-// Millis returns a setting in milliseconds as a duration.
+// Millis converts a setting in milliseconds to a duration.
 func Millis(ms float64) time.Duration {
 	return time.Duration(ms * float64(time.Millisecond))
 }
