--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator is the resource API: its messages, and a client for it.
+// Package operator defines the messages of the resource API and a client for it.
 package operator
 
 import (
@@ -21,45 +21,46 @@
 	PathStatus    = "/api/v1/status"
 )
 
-// Change is the body of a PUT: what a resource is to be.
+// Change is the body of a PUT request: the desired state of a resource.
 type Change struct {
-	// Version is the version that the change replaces; 0 creates.
+	// Version is the version that the change replaces; 0 creates the resource.
 	Version int64 `json:"version"`
-	// ChangeID identifies the change, so that sending it again after a lost
-	// answer does not count as a second one.
+	// ChangeID identifies the change, so that a repeat after a lost response is not
+	// treated as a second change.
 	ChangeID string          `json:"change_id"`
 	Spec     json.RawMessage `json:"spec"`
 }
 
-// List is the resources of one kind at a revision. Next, where set, is the
-// name to go on after.
+// List is one page of the resources of a kind at a revision. If Next is not empty,
+// more resources follow; pass it to Client.List as after to get the next page.
 type List struct {
 	Revision int64               `json:"revision"`
 	Items    []resource.Resource `json:"items"`
 	Next     string              `json:"next,omitempty"`
 }
 
-// TargetStatus is one target as an entry sees it.
+// TargetStatus is the status of one target as seen by an entry.
 type TargetStatus struct {
 	Name       string `json:"name"`
 	Serves     string `json:"serves"`
 	DataCentre string `json:"data_centre"`
-	// State is live, suspect or dead, in the entry's opinion.
+	// State is live, suspect or dead, as determined by the entry.
 	State    string `json:"state"`
 	Leaving  bool   `json:"leaving"`
 	Inflight int    `json:"inflight"`
 }
 
-// Status is what one entry knows.
+// Status is the status of the system as seen by one entry.
 type Status struct {
 	Entry    string `json:"entry"`
 	Revision int64  `json:"revision"`
-	// InForce is the revision of each process that answered.
+	// InForce maps each listed process to the configuration revision that it uses;
+	// -1 if it did not answer.
 	InForce map[string]int64 `json:"in_force"`
 	Targets []TargetStatus   `json:"targets"`
 }
 
-// Error is a refusal of the resource API.
+// Error is an error response of the resource API. Status is the HTTP status code.
 type Error struct {
 	Status  int
 	Code    string `json:"code"`
@@ -79,12 +80,13 @@
 	http *http.Client
 }
 
-// NewClient returns a client of the entry at base with an operator's key.
+// NewClient returns a client of the entry at the base URL. It authenticates with the
+// operator's key.
 func NewClient(base, key string) *Client {
 	return &Client{base: base, key: key, http: &http.Client{Timeout: time.Minute}}
 }
 
-func (c *Client) do(ctx context.Context, method, path string, query url.Values, body, out any) error {
+func (c *Client) do(ctx context.Context, method, path string, query url.Values, body, result any) error {
 	var encoded []byte
 	if body != nil {
 		var err error
@@ -111,7 +113,7 @@
 		failure.Error.Status = resp.StatusCode
 		return failure.Error
 	}
-	if err := decoder.Decode(out); err != nil {
+	if err := decoder.Decode(result); err != nil {
 		return fmt.Errorf("decode the entry's answer: %w", err)
 	}
 	return nil
@@ -128,14 +130,14 @@
 	return r, err
 }
 
-// List returns one page of a kind, after a name.
+// List returns the page of resources of a kind whose names sort after the given name.
 func (c *Client) List(ctx context.Context, kind resource.Kind, after string) (List, error) {
 	var l List
 	err := c.do(ctx, http.MethodGet, fmt.Sprintf("%s/%s", PathResources, kind), url.Values{"after": {after}}, nil, &l)
 	return l, err
 }
 
-// Put writes a resource; dryRun only checks.
+// Put creates or replaces a resource. With dryRun, the change is only validated.
 func (c *Client) Put(ctx context.Context, kind resource.Kind, name string, change Change, dryRun bool) (resource.Resource, error) {
 	var r resource.Resource
 	query := url.Values{"dry_run": {strconv.FormatBool(dryRun)}}
@@ -143,7 +145,7 @@
 	return r, err
 }
 
-// Delete removes a resource at a version.
+// Delete removes a resource, provided that it is at the given version.
 func (c *Client) Delete(ctx context.Context, kind resource.Kind, name string, version int64) (resource.Deletion, error) {
 	var d resource.Deletion
 	query := url.Values{"version": {strconv.FormatInt(version, 10)}}
@@ -151,7 +153,7 @@
 	return d, err
 }
 
-// Watch waits for changes after a revision.
+// Watch waits up to wait for changes after a revision; the entry may limit the time.
 func (c *Client) Watch(ctx context.Context, after int64, wait time.Duration) (resource.Delta, error) {
 	var d resource.Delta
 	query := url.Values{
@@ -162,7 +164,8 @@
 	return d, err
 }
 
-// Status returns what the entry knows, and what is in force where.
+// Status returns the targets as seen by the entry and the configuration revision of
+// each process.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var s Status
 	err := c.do(ctx, http.MethodGet, PathStatus, nil, nil, &s)
