--- a/configsync/carry.go
+++ b/configsync/carry.go
@@ -10,8 +10,9 @@
 	"acaciakeel/store"
 )
 
-// carry does one round of a carrier: the list of VMs, then the watch.
-func (f *Follower) carry(ctx context.Context) error {
+// syncFromPlatform runs one round of a carrier: it reads the list of VMs and then
+// lists or watches the platform's resources.
+func (f *Follower) syncFromPlatform(ctx context.Context) error {
 	if err := f.refreshVMs(ctx); err != nil {
 		f.config.OnEvent("list_failed", err)
 	}
@@ -27,9 +28,10 @@
 	if err != nil {
 		return fmt.Errorf("read the list of VMs: %w", err)
 	}
-	// An empty list is the list's fault, not the fleet's: keep the last.
+	// An empty list is taken as a fault of the directory, not as an empty
+	// fleet; the previous list is kept.
 	if len(vms) > 0 {
-		f.offer(nil, vms)
+		f.replaceState(nil, vms)
 	}
 	return nil
 }
@@ -56,7 +58,7 @@
 		return fmt.Errorf("list resources: %w", err)
 	}
 	if listing.Revision < f.Revision() {
-		return fmt.Errorf("%w: %d there, %d here", ErrOldRevision, listing.Revision, f.Revision())
+		return fmt.Errorf("%w: platform revision %d, local revision %d", ErrOldRevision, listing.Revision, f.Revision())
 	}
 	delta := resource.Delta{Full: true, Revision: listing.Revision}
 	var bad []error
@@ -95,7 +97,7 @@
 
 func (f *Follower) apply(d resource.Delta) error {
 	snapshot, err := f.State().Snapshot.With(d)
-	f.offer(snapshot, nil)
+	f.replaceState(snapshot, nil)
 	return err
 }
 
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -15,40 +15,44 @@
 	"acaciakeel/vm"
 )
 
-// Times of the follower.
+// Timing and limits of the follower.
 const (
-	// watchWait is how long one watch waits, and how often the list of VMs is read.
+	// watchWait bounds one watch call; the list of VMs is read before each.
 	watchWait = 2 * time.Second
-	// fetchWait is how long one long poll at a neighbour waits.
+	// fetchWait bounds one long poll at a neighbour.
 	fetchWait = 10 * time.Second
-	// retryPause is the mean pause after a failure; it varies by half, so that
-	// a herd of restarts spreads.
-	retryPause = 300 * time.Millisecond
-	// minRound is the least time of a round at a neighbour.
-	minRound = 50 * time.Millisecond
-	// neighboursAsked is how many neighbours a process asks at its start.
-	neighboursAsked = 3
+	// retryDelay is the mean delay after a failure. The jitter is half of it in
+	// either direction, so that many processes restarted together do not
+	// retry together.
+	retryDelay = 300 * time.Millisecond
+	// minRoundDuration is the duration below which a successful fetch is followed by a
+	// delay.
+	minRoundDuration = 50 * time.Millisecond
+	// maxStartupNeighbours bounds how many neighbours a process queries at startup.
+	maxStartupNeighbours = 3
 )
 
-// ErrOldRevision: the platform's service came back with an older state than
-// processes have in force. It is not believed.
+// ErrOldRevision is returned when the platform's service lists an older
+// revision than the one in force here, as when it has come back with an older
+// state. The listing is rejected.
 var ErrOldRevision = errors.New("the platform's service has an older revision than is in force here; restore the service, then write the lost changes again")
 
-// Config of a follower.
+// Config configures a Follower.
 type Config struct {
 	Self vm.VM
-	// Neighbours are URLs of a few other processes, asked at the start when
-	// the platform's service is down.
+	// Neighbours are URLs of other processes. The first few are queried at
+	// startup, so that the process has a state while the platform's service
+	// is down.
 	Neighbours []string
 	Store      store.Store
 	Directory  store.Directory
 	Links      *link.Pool
-	// OnEvent, where set, hears of each event for logs and counters.
+	// OnEvent, if not nil, is called for each failure, for logs and counters.
 	OnEvent func(event string, err error)
 }
 
-// Follower keeps the State of one process current. Its Run is the control
-// goroutine; all else only reads.
+// Follower keeps the State of one process up to date. Only the goroutine in
+// Run replaces the State; all others read it.
 type Follower struct {
 	config  Config
 	current atomic.Pointer[State]
@@ -65,14 +69,14 @@
 // NewFollower returns a follower with an empty State.
 func NewFollower(c Config) *Follower {
 	f := &Follower{config: c, hint: make(chan int64, 1), changed: make(chan struct{})}
-	f.current.Store(newState(resource.Empty(), nil, lists{}))
+	f.current.Store(newState(resource.Empty(), nil, vmHistory{}))
 	if f.config.OnEvent == nil {
 		f.config.OnEvent = func(string, error) {}
 	}
 	return f
 }
 
-// State returns what is in force at this process.
+// State returns the state in force at this process.
 func (f *Follower) State() *State {
 	return f.current.Load()
 }
@@ -82,15 +86,15 @@
 	return f.State().Snapshot.Revision
 }
 
-// Changed returns a channel that closes at the next change of State.
+// Changed returns a channel that is closed at the next change of State.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// Hint tells the follower that a message from another process carried a
-// revision. A higher one than its own makes it fetch at once.
+// Hint reports a revision seen in a message from another process. If it is
+// higher than the one in force, the follower starts a new round at once.
 func (f *Follower) Hint(revision int64) {
 	if revision <= f.Revision() {
 		return
@@ -101,7 +105,7 @@
 	}
 }
 
-// Await waits until the revision is in force here, or ctx ends.
+// Await blocks until the revision is in force here or ctx is done.
 func (f *Follower) Await(ctx context.Context, revision int64) error {
 	for {
 		changed := f.Changed()
@@ -116,24 +120,25 @@
 	}
 }
 
-// Run follows until ctx ends.
+// Run keeps the State up to date until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	f.start(ctx)
 	for ctx.Err() == nil {
 		if err := f.step(ctx); err != nil && ctx.Err() == nil {
 			f.failures++
-			f.pause(ctx)
+			f.sleepWithJitter(ctx)
 			continue
 		}
 		f.failures = 0
 	}
 }
 
-// start takes the highest state among the platform and several neighbours, so
-// that a process serves at once even while the service is down.
+// start fetches the state from several neighbours and keeps the highest
+// revision, so that the process can serve while the platform's service is
+// down. Without a state from a neighbour it reads the list of VMs.
 func (f *Follower) start(ctx context.Context) {
 	for i, url := range f.config.Neighbours {
-		if i == neighboursAsked {
+		if i == maxStartupNeighbours {
 			break
 		}
 		if err := f.fetch(ctx, url, 0); err != nil {
@@ -148,31 +153,32 @@
 	}
 }
 
-// step does one round: at the platform for a carrier, at a carrier for others.
+// step runs one round: a carrier reads from the platform, any other process
+// fetches from a carrier.
 func (f *Follower) step(ctx context.Context) error {
 	round, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go f.endOnHint(round, cancel)
+	go f.cancelOnHint(round, cancel)
 	url, ok := f.source()
 	if !ok {
-		return f.ignoreHinted(round, f.carry(round))
+		return f.ignoreHinted(round, f.syncFromPlatform(round))
 	}
 	began := time.Now()
 	err := f.fetch(round, url, fetchWait)
 	if err != nil {
 		f.config.OnEvent("fetch_failed", err)
 	}
-	if err == nil && time.Since(began) < minRound {
-		// Two carriers that differ in the lagging list would otherwise keep a
-		// process busy going back and forth between them.
-		f.pause(round)
+	if err == nil && time.Since(began) < minRoundDuration {
+		// Carriers can hold different lists of VMs for a while. Without the
+		// delay a process would alternate between them in a busy loop.
+		f.sleepWithJitter(round)
 	}
 	return f.ignoreHinted(round, err)
 }
 
-// endOnHint ends a waiting round when a message has shown a higher revision;
-// the next round then begins at once and finds it.
-func (f *Follower) endOnHint(round context.Context, cancel context.CancelFunc) {
+// cancelOnHint cancels a waiting round when a hint has a higher revision than
+// the one in force, so that the next round starts at once.
+func (f *Follower) cancelOnHint(round context.Context, cancel context.CancelFunc) {
 	for {
 		select {
 		case <-round.Done():
@@ -194,8 +200,9 @@
 	return err
 }
 
-// source returns the carrier to wait at, or false for a process that carries:
-// one of the first two of its data centre, or one that found both away.
+// source returns the URL of the carrier to fetch from, or false if this
+// process is a carrier itself: one of the first two of its data centre, or a
+// later one after as many failures as it takes to reach its position.
 func (f *Follower) source() (string, bool) {
 	carriers := f.State().Carriers(f.config.Self.DataCentre.Name)
 	if len(carriers) == 0 {
@@ -211,16 +218,17 @@
 	return carriers[pick].URL, true
 }
 
-func (f *Follower) pause(ctx context.Context) {
-	half := retryPause / 2
+func (f *Follower) sleepWithJitter(ctx context.Context) {
+	half := retryDelay / 2
 	select {
 	case <-time.After(half + rand.N(2*half)):
 	case <-ctx.Done():
 	}
 }
 
-// offer swaps the State where the snapshot is newer or the list has changed.
-func (f *Follower) offer(s *resource.Snapshot, vms []vm.VM) {
+// replaceState replaces the State if the snapshot is newer or the list of VMs has
+// changed. A nil argument keeps the current value.
+func (f *Follower) replaceState(s *resource.Snapshot, vms []vm.VM) {
 	old := f.State()
 	if s == nil || s.Revision <= old.Snapshot.Revision {
 		s = old.Snapshot
--- a/configsync/neighbour.go
+++ b/configsync/neighbour.go
@@ -12,7 +12,7 @@
 	keelv1 "acaciakeel/api/keel/v1"
 )
 
-// fetch takes a neighbour's state where it is newer, waiting up to wait.
+// fetch long-polls a neighbour for up to wait and applies its state if newer.
 func (f *Follower) fetch(ctx context.Context, url string, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+time.Second)
 	defer cancel()
@@ -36,11 +36,11 @@
 		return fmt.Errorf("decode state of neighbour %s: %w", url, err)
 	}
 	snapshot, err := state.Snapshot.With(u.Delta)
-	f.offer(snapshot, u.VMs.apply(state.VMs))
+	f.replaceState(snapshot, u.VMs.apply(state.VMs))
 	return err
 }
 
-// Server answers neighbours' long polls. It implements ConfigServiceHandler.
+// Server serves the long polls of neighbours. It implements ConfigServiceHandler.
 type Server struct {
 	follower *Follower
 	stopped  chan struct{}
@@ -51,15 +51,15 @@
 	return &Server{follower: f, stopped: make(chan struct{})}
 }
 
-// Stop ends all long polls, so that a planned stop does not wait for them.
-// Call it once.
+// Stop ends all long polls, so that a planned shutdown does not wait for them.
+// It must be called at most once.
 func (s *Server) Stop() {
 	close(s.stopped)
 }
 
 var errStopping = errors.New("this process is stopping; ask another carrier")
 
-// maxFetchWait bounds what a neighbour can ask to wait.
+// maxFetchWait bounds the wait that a neighbour can request.
 const maxFetchWait = 30 * time.Second
 
 // Fetch implements ConfigServiceHandler.
--- a/configsync/state.go
+++ b/configsync/state.go
@@ -1,7 +1,7 @@
-// Package configsync brings the operators' configuration and the list of VMs
-// to every process. In each data centre two processes, the carriers, hold the
-// platform's watch; all others wait at a carrier. A process keeps one
-// immutable State and takes only a higher revision, whoever it comes from.
+// Package configsync distributes the operators' configuration and the list of
+// VMs to every process. In each data centre two processes, the carriers, watch
+// the platform; all others long-poll a carrier. A process holds one immutable
+// State and accepts only a higher revision, whatever its source.
 package configsync
 
 import (
@@ -16,16 +16,17 @@
 	"acaciakeel/vm"
 )
 
-// State is what a process knows: immutable, swapped as a whole.
+// State is the configuration and the list of VMs in force at a process. It is
+// immutable and replaced as a whole.
 type State struct {
 	Snapshot *resource.Snapshot
 	VMs      []vm.VM
-	// VMsHash identifies the list, so that a neighbour can tell a new one.
+	// VMsHash identifies the list, so that a neighbour can detect a change.
 	VMsHash uint64
-	earlier lists
+	earlier vmHistory
 }
 
-func newState(s *resource.Snapshot, vms []vm.VM, earlier lists) *State {
+func newState(s *resource.Snapshot, vms []vm.VM, earlier vmHistory) *State {
 	sorted := slices.Clone(vms)
 	slices.SortFunc(sorted, func(a, b vm.VM) int { return cmp.Compare(a.Name, b.Name) })
 	hash := hashVMs(sorted)
@@ -48,7 +49,7 @@
 	return n
 }
 
-// Leaving reports whether the platform has begun to take the named VM away.
+// Leaving reports whether the platform has begun to remove the named VM.
 func (s *State) Leaving(name string) bool {
 	for _, v := range s.VMs {
 		if v.Name == name {
@@ -58,11 +59,11 @@
 	return false
 }
 
-// carriersPerDataCentre is how many processes of a data centre hold the watch.
+// carriersPerDataCentre is how many processes of a data centre watch the platform.
 const carriersPerDataCentre = 2
 
-// Carriers returns the VMs of a data centre in the order in which they carry:
-// the first two hold the watch, the next step in when others look for one.
+// Carriers returns the VMs of a data centre in their order as carriers: the
+// first two watch the platform, the next ones replace them on failures.
 func (s *State) Carriers(dataCentre string) []vm.VM {
 	var own []vm.VM
 	for _, v := range s.VMs {
@@ -77,44 +78,45 @@
 	return own
 }
 
-// update is a neighbour's answer.
+// update is the state in a response to a neighbour.
 type update struct {
 	Delta resource.Delta `json:"delta"`
-	// VMs is the list, whole or as changes of the asker's; nil where the asker
-	// has it already.
+	// VMs is the whole list or the changes to the requester's; nil if the
+	// requester already has it.
 	VMs *vmUpdate `json:"vms,omitempty"`
 }
 
-// vmUpdate brings one list of VMs to the next. At the target size the list is
-// some hundred kilobytes and changes hundreds of times a day; sent whole to
-// every process of a data centre it would exceed a carrier's budget.
+// vmUpdate is the difference between two lists of VMs. At the design size the
+// list is some hundred kilobytes and changes hundreds of times a day; sending
+// it whole to every process of a data centre would exceed a carrier's budget.
 type vmUpdate struct {
-	// Whole: Set is the list; else it is what changed, and Removed what went.
+	// Whole means that Set is the full list. Otherwise Set holds the added and
+	// changed VMs, and Removed the names of the removed ones.
 	Whole   bool     `json:"whole,omitempty"`
 	Set     []vm.VM  `json:"set,omitempty"`
 	Removed []string `json:"removed,omitempty"`
 }
 
-// keptLists is how many earlier lists a process can tell changes from.
-const keptLists = 16
+// maxEarlierLists is how many recent lists a process can compute changes from.
+const maxEarlierLists = 16
 
-// lists remembers the last lists by their hashes. It is immutable.
-type lists struct {
+// vmHistory holds the most recent vmHistory of VMs by hash. It is immutable.
+type vmHistory struct {
 	hashes []uint64
 	byHash map[uint64][]vm.VM
 }
 
-// with returns the lists with one more, the oldest left out past the bound.
-func (l lists) with(hash uint64, vms []vm.VM) lists {
+// with returns a copy with one more list, dropping the oldest beyond maxEarlierLists.
+func (l vmHistory) with(hash uint64, vms []vm.VM) vmHistory {
 	if _, known := l.byHash[hash]; known {
 		return l
 	}
-	next := lists{hashes: append(slices.Clone(l.hashes), hash), byHash: maps.Clone(l.byHash)}
+	next := vmHistory{hashes: append(slices.Clone(l.hashes), hash), byHash: maps.Clone(l.byHash)}
 	if next.byHash == nil {
 		next.byHash = map[uint64][]vm.VM{}
 	}
 	next.byHash[hash] = vms
-	if len(next.hashes) > keptLists {
+	if len(next.hashes) > maxEarlierLists {
 		delete(next.byHash, next.hashes[0])
 		next.hashes = next.hashes[1:]
 	}
@@ -137,7 +139,7 @@
 	return u
 }
 
-// apply returns the list after the update.
+// apply returns the list after the update, or nil for no update.
 func (u *vmUpdate) apply(old []vm.VM) []vm.VM {
 	if u == nil {
 		return nil
@@ -158,7 +160,7 @@
 	return slices.Collect(maps.Values(byName))
 }
 
-// encodeFor returns the state for a neighbour that has the given revision and list.
+// encodeFor encodes the changes for a neighbour at the given revision and list.
 func (s *State) encodeFor(revision int64, vmsHash uint64) ([]byte, error) {
 	u := update{Delta: s.Snapshot.Since(revision), VMs: s.vmsFor(vmsHash)}
 	data, err := json.Marshal(u)
--- a/configsync/state_test.go
+++ b/configsync/state_test.go
@@ -10,12 +10,12 @@
 	"acaciakeel/vm"
 )
 
-// A process that learns of VMs by changes must end with its carrier's list,
-// whichever earlier list it had; a wrong list sends requests to VMs that left.
+// Guards against a follower whose list of VMs differs from its carrier's after
+// incremental updates, so that requests go to removed VMs.
 func TestVMChangesBringTheSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		carrier := newState(resource.Empty(), nil, lists{})
-		follower := newState(resource.Empty(), nil, lists{})
+		carrier := newState(resource.Empty(), nil, vmHistory{})
+		follower := newState(resource.Empty(), nil, vmHistory{})
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			carrier = newState(carrier.Snapshot, drawVMs(t), carrier.earlier)
 			if rapid.IntRange(0, 3).Draw(t, "sync") != 0 {
@@ -41,7 +41,8 @@
 	return vms
 }
 
-// All processes must agree on who carries, and those that leave must not.
+// Guards against carriers that depend on the order of the list or include
+// leaving VMs.
 func TestCarriers(t *testing.T) {
 	vms := []vm.VM{
 		{Name: "a", URL: "u", DataCentre: vm.DataCentre{Name: "d"}},
@@ -49,8 +50,8 @@
 		{Name: "c", URL: "u", DataCentre: vm.DataCentre{Name: "d"}, Leaving: true},
 		{Name: "e", URL: "u", DataCentre: vm.DataCentre{Name: "other"}},
 	}
-	one := newState(resource.Empty(), vms, lists{}).Carriers("d")
-	other := newState(resource.Empty(), []vm.VM{vms[3], vms[2], vms[1], vms[0]}, lists{}).Carriers("d")
+	one := newState(resource.Empty(), vms, vmHistory{}).Carriers("d")
+	other := newState(resource.Empty(), []vm.VM{vms[3], vms[2], vms[1], vms[0]}, vmHistory{}).Carriers("d")
 	if len(one) != 2 || fmt.Sprint(one) != fmt.Sprint(other) {
 		t.Errorf("carriers %v and %v", one, other)
 	}
