--- a/resource/delta.go
+++ b/resource/delta.go
@@ -8,30 +8,31 @@
 	"slices"
 )
 
-// Deletion is a resource that was deleted.
+// Deletion records that a resource was deleted, and at which revision.
 type Deletion struct {
 	Key      string `json:"key"`
 	Revision int64  `json:"revision"`
 }
 
-// keptDeletions is how many deletions a snapshot remembers, so that it can
-// tell a neighbour that is behind only what has changed.
-const keptDeletions = 500
+// maxDeletions is how many deletions a snapshot keeps, so that a neighbour
+// with an older revision can be sent only the changes.
+const maxDeletions = 500
 
-// Delta is what changed between two revisions. At the size of two years from
-// now a snapshot is about a megabyte and changes 3,500 times a day: sent
-// whole it would alone exceed a node's budget.
+// Delta is the set of changes between two revisions. At the size planned for
+// two years from now a snapshot is about a megabyte and changes 3,500 times a
+// day; sending it whole would alone exceed a node's budget.
 type Delta struct {
-	// Full: Changed holds every resource there is, and Base is of no account.
+	// Full means that Changed holds every resource; Base is then ignored.
 	Full bool `json:"full,omitempty"`
-	// Base is the revision that the delta starts from.
+	// Base is the revision that the delta applies to.
 	Base     int64      `json:"base"`
 	Revision int64      `json:"revision"`
 	Changed  []Resource `json:"changed,omitempty"`
 	Deleted  []Deletion `json:"deleted,omitempty"`
 }
 
-// Since returns what changed after the revision base.
+// Since returns the changes after the revision base. The delta is full if base
+// is older than the deletions that are kept, or newer than the snapshot.
 func (s *Snapshot) Since(base int64) Delta {
 	d := Delta{Base: base, Revision: s.Revision, Full: base < s.floor || base > s.Revision}
 	for _, key := range slices.Sorted(maps.Keys(s.Resources)) {
@@ -47,8 +48,8 @@
 	return d
 }
 
-// With returns the snapshot after a delta. Resources that do not decode are
-// left out and reported, as by Build.
+// With returns the snapshot with a delta applied. Resources that cannot be
+// decoded are left out and reported, as by Build.
 func (s *Snapshot) With(d Delta) (*Snapshot, error) {
 	if d.Full {
 		return Build(d.Revision, d.Changed)
@@ -71,7 +72,7 @@
 	next, err := Build(d.Revision, slices.Collect(maps.Values(resources)))
 	next.floor = s.floor
 	next.deletions = mergeDeletions(s.deletions, d.Deleted)
-	if extra := len(next.deletions) - keptDeletions; extra > 0 {
+	if extra := len(next.deletions) - maxDeletions; extra > 0 {
 		next.floor = next.deletions[extra-1].Revision
 		next.deletions = next.deletions[extra:]
 	}
@@ -86,9 +87,9 @@
 	return slices.Compact(all)
 }
 
-// KeepPrevious returns the spec of a changed Model with the version that is
-// in force filled in as the previous one, so that every process, a restarted
-// one too, knows what runners serve until they have the new weights.
+// KeepPrevious returns the spec of a changed Model with PreviousVersion set to
+// the version in force, so that every process, including a restarted one,
+// knows which version runners serve until they have the new weights.
 func KeepPrevious(r Resource, s *Snapshot) json.RawMessage {
 	old, known := s.Models[r.Name]
 	if r.Kind != KindModel || !known {
--- a/resource/resource.go
+++ b/resource/resource.go
@@ -1,6 +1,6 @@
-// Package resource defines what operators set: Service, Target, Customer,
-// Model and Preference, their validation, and the immutable Snapshot that
-// every process works from.
+// Package resource defines the resources that operators configure (Service,
+// Target, Customer, Model and Preference), their validation, and the immutable
+// Snapshot that every process reads.
 package resource
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Kind names a kind of resource.
+// Kind is the kind of a resource.
 type Kind string
 
 // The kinds of resource.
@@ -31,10 +31,11 @@
 type Resource struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// Version is the platform's revision at the last change; 0 is "not there yet".
+	// Version is the platform's revision at the last change; 0 if the resource
+	// does not exist yet.
 	Version int64 `json:"version,omitempty"`
-	// ChangeID identifies the write that made this version, so that a writer
-	// whose answer was lost can find out by reading whether it took effect.
+	// ChangeID identifies the write that created this version, so that a writer
+	// that lost the response can check by reading whether the write took effect.
 	ChangeID string          `json:"change_id,omitempty"`
 	Changed  time.Time       `json:"changed,omitzero"`
 	Author   string          `json:"author,omitempty"`
@@ -46,13 +47,13 @@
 	return fmt.Sprintf("%s%s/%s", KeyPrefix, kind, name)
 }
 
-// KeyPrefix starts the platform keys of all resources.
+// KeyPrefix is the prefix of the platform keys of all resources.
 const KeyPrefix = "acaciakeel/resources/"
 
-// Service is a plain service beside the model engines.
+// Service is a service other than a model engine.
 type Service struct {
-	// IdempotentPaths are path prefixes whose calls may be repeated whatever
-	// their method. GET and HEAD may always be repeated; all else may not.
+	// IdempotentPaths are path prefixes whose calls may be retried with any
+	// method. On other paths only GET and HEAD may be retried.
 	IdempotentPaths []string `json:"idempotent_paths,omitempty" toml:"idempotent_paths"`
 	// TimeoutMS bounds one call, in milliseconds. Default 10000.
 	TimeoutMS int `json:"timeout_ms,omitempty" toml:"timeout_ms"`
@@ -65,17 +66,17 @@
 	Model string `json:"model,omitempty" toml:"model"`
 	// Service is the service that a plain target is an instance of.
 	Service string `json:"service,omitempty" toml:"service"`
-	// AgentURL is where the target's agent serves the system's own messages.
+	// AgentURL is where the target's agent serves the system's internal RPCs.
 	AgentURL string `json:"agent_url" toml:"agent_url"`
-	// DataCentre and Region say where the target stands.
+	// DataCentre and Region are the target's location.
 	DataCentre string `json:"data_centre" toml:"data_centre"`
 	Region     string `json:"region,omitempty" toml:"region"`
-	// VM is the target's VM as the platform's list names it, so that its
-	// leaving is seen there. Default the target's own name.
+	// VM is the name of the target's VM in the platform's list, which shows when
+	// the VM is leaving. Default the target's own name.
 	VM string `json:"vm,omitempty" toml:"vm"`
-	// Leaving takes the target out of new work; what runs is finished.
+	// Leaving stops new work for the target; running work is finished.
 	Leaving bool `json:"leaving,omitempty" toml:"leaving"`
-	// ChecksFencing says that the target itself refuses orders with an old fencing number.
+	// ChecksFencing means that the target itself rejects orders with an old fencing number.
 	ChecksFencing bool `json:"checks_fencing,omitempty" toml:"checks_fencing"`
 }
 
@@ -87,7 +88,7 @@
 	Weight int `json:"weight,omitempty" toml:"weight"`
 	// Priority is 0 (first) to 3. Default 1.
 	Priority *int `json:"priority,omitempty" toml:"priority"`
-	// RequestsPerSecond, TokensPerSecond and Streams are limits over all entries; 0 is none.
+	// RequestsPerSecond, TokensPerSecond and Streams are limits across all entries; 0 is no limit.
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty" toml:"requests_per_second"`
 	TokensPerSecond   float64 `json:"tokens_per_second,omitempty" toml:"tokens_per_second"`
 	Streams           int     `json:"streams,omitempty" toml:"streams"`
@@ -99,12 +100,12 @@
 type Model struct {
 	// WeightsVersion is the version that runners are to serve.
 	WeightsVersion string `json:"weights_version" toml:"weights_version"`
-	// PreviousVersion is what runners served before, until enough have the
-	// new weights. Entries fill it in at a change of WeightsVersion.
+	// PreviousVersion is the version that runners serve until enough of them
+	// have the new weights. Entries set it when WeightsVersion changes.
 	PreviousVersion string `json:"previous_version,omitempty" toml:"previous_version"`
-	// BlockTokens is the engines' cache block. Default 16.
+	// BlockTokens is the engines' cache block size. Default 16.
 	BlockTokens int `json:"block_tokens,omitempty" toml:"block_tokens"`
-	// PieceTokens is the engines' unit of prefill. Default 4000.
+	// PieceTokens is the engines' prefill chunk size. Default 4000.
 	PieceTokens int `json:"piece_tokens,omitempty" toml:"piece_tokens"`
 	// Adapters are the names that callers may ask for as MODEL:ADAPTER.
 	Adapters []string `json:"adapters,omitempty" toml:"adapters"`
@@ -112,7 +113,7 @@
 	MinRunners int `json:"min_runners,omitempty" toml:"min_runners"`
 }
 
-// Preference is a routing preference: how prefix reuse weighs against waiting.
+// Preference is a routing preference: the weights of prefix reuse and waiting.
 type Preference struct {
 	// Policy is the placement policy. Default "keel"; the others are baselines.
 	Policy string `json:"policy,omitempty" toml:"policy"`
@@ -129,7 +130,7 @@
 	WidenWaitMS int `json:"widen_wait_ms,omitempty" toml:"widen_wait_ms"`
 }
 
-// Defaults of the fields that may be left out.
+// Defaults of optional fields, and the lowest priority (MaxPriority).
 const (
 	DefaultServiceTimeout = 10 * time.Second
 	DefaultWeight         = 1
@@ -153,7 +154,7 @@
 	return value
 }
 
-// Timeout returns the bound on one call.
+// Timeout returns the time limit of one call.
 func (s Service) Timeout() time.Duration {
 	if s.TimeoutMS == 0 {
 		return DefaultServiceTimeout
@@ -177,7 +178,7 @@
 	return m
 }
 
-// WithDefaults returns p with each field that was left out set to its default.
+// WithDefaults returns p with each unset field at its default.
 func (p Preference) WithDefaults() Preference {
 	p.Policy = orDefault(p.Policy, DefaultPolicy)
 	p.MissWeight = orDefault(p.MissWeight, DefaultMissWeight)
--- a/resource/resource_test.go
+++ b/resource/resource_test.go
@@ -9,17 +9,17 @@
 	"pgregory.net/rapid"
 )
 
-func res(kind Kind, name string, version int64, spec string) Resource {
+func newResource(kind Kind, name string, version int64, spec string) Resource {
 	return Resource{Kind: kind, Name: name, Version: version, Spec: json.RawMessage(spec)}
 }
 
-func base(t *testing.T) *Snapshot {
+func newTestSnapshot(t *testing.T) *Snapshot {
 	t.Helper()
 	s, err := Build(5, []Resource{
-		res(KindModel, "m", 1, `{"weights_version":"v1"}`),
-		res(KindService, "s", 2, `{}`),
-		res(KindCustomer, "a", 3, `{"key_hashes":["`+strings.Repeat("a", 64)+`"]}`),
-		res(KindTarget, "t", 4, `{"model":"m","agent_url":"http://10.0.0.1:1","data_centre":"d"}`),
+		newResource(KindModel, "m", 1, `{"weights_version":"v1"}`),
+		newResource(KindService, "s", 2, `{}`),
+		newResource(KindCustomer, "a", 3, `{"key_hashes":["`+strings.Repeat("a", 64)+`"]}`),
+		newResource(KindTarget, "t", 4, `{"model":"m","agent_url":"http://10.0.0.1:1","data_centre":"d"}`),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -28,20 +28,20 @@
 }
 
 func TestValidate(t *testing.T) {
-	s := base(t)
+	s := newTestSnapshot(t)
 	for _, test := range []struct {
 		name string
 		r    Resource
 		want []string
 	}{
-		{"good target", res(KindTarget, "t2", 0, `{"service":"s","agent_url":"http://10.0.0.1:1","data_centre":"d"}`), nil},
-		{"every mistake at once", res(KindTarget, "T2", 0, `{"model":"none","service":"s","agent_url":"nonsense"}`),
+		{"good target", newResource(KindTarget, "t2", 0, `{"service":"s","agent_url":"http://10.0.0.1:1","data_centre":"d"}`), nil},
+		{"every mistake at once", newResource(KindTarget, "T2", 0, `{"model":"none","service":"s","agent_url":"nonsense"}`),
 			[]string{"name: found", "model, service: found", `unknown model "none"`, "agent_url: found", "data_centre: found"}},
-		{"unknown field", res(KindModel, "m2", 0, `{"weigths_version":"v1"}`), []string{"weigths_version"}},
-		{"someone else's key", res(KindCustomer, "b", 0, `{"key_hashes":["`+strings.Repeat("a", 64)+`"]}`), []string{`a key of customer "a"`}},
-		{"short key hash", res(KindCustomer, "b", 0, `{"key_hashes":["abc"]}`), []string{"64 hex digits"}},
-		{"unknown policy", res(KindPreference, "p", 0, `{"policy":"best"}`), []string{"policy: found"}},
-		{"bad priority", res(KindCustomer, "b", 0, `{"key_hashes":["`+strings.Repeat("b", 64)+`"],"priority":9}`), []string{"priority: found 9"}},
+		{"unknown field", newResource(KindModel, "m2", 0, `{"weigths_version":"v1"}`), []string{"weigths_version"}},
+		{"someone else's key", newResource(KindCustomer, "b", 0, `{"key_hashes":["`+strings.Repeat("a", 64)+`"]}`), []string{`a key of customer "a"`}},
+		{"short key hash", newResource(KindCustomer, "b", 0, `{"key_hashes":["abc"]}`), []string{"64 hex digits"}},
+		{"unknown policy", newResource(KindPreference, "p", 0, `{"policy":"best"}`), []string{"policy: found"}},
+		{"bad priority", newResource(KindCustomer, "b", 0, `{"key_hashes":["`+strings.Repeat("b", 64)+`"],"priority":9}`), []string{"priority: found 9"}},
 	} {
 		err := Validate(test.r, s)
 		if (err == nil) != (len(test.want) == 0) {
@@ -59,10 +59,8 @@
 	}
 }
 
-// An operator whose accepted change went missing at some process would see
-// requests go by old rules there. Whatever the order in which a process
-// learns of changes, and from whichever revision, deltas must bring it to the
-// same resources as those of the process that it learns from.
+// Guards against a process that misses an accepted change, and so applies old
+// rules, after receiving deltas from any revision and in any order.
 func TestDeltasBringTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader, follower := Empty(), Empty()
@@ -74,12 +72,12 @@
 			if rapid.IntRange(0, 2).Draw(t, "op") == 0 {
 				d.Deleted = []Deletion{{Key: Key(KindService, name), Revision: revision}}
 			} else {
-				d.Changed = []Resource{res(KindService, name, revision, `{}`)}
+				d.Changed = []Resource{newResource(KindService, name, revision, `{}`)}
 			}
 			leader, _ = leader.With(d)
 			if rapid.IntRange(0, 3).Draw(t, "sync") == 0 {
 				follower, _ = follower.With(leader.Since(follower.Revision))
-				if err := same(leader, follower); err != nil {
+				if err := compareSnapshots(leader, follower); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -87,7 +85,7 @@
 	})
 }
 
-func same(a, b *Snapshot) error {
+func compareSnapshots(a, b *Snapshot) error {
 	if a.Revision != b.Revision || len(a.Resources) != len(b.Resources) {
 		return fmt.Errorf("revisions %d and %d, %d and %d resources", a.Revision, b.Revision, len(a.Resources), len(b.Resources))
 	}
@@ -99,9 +97,9 @@
 	return nil
 }
 
-// One broken resource must not take the others down.
+// Guards against one undecodable resource making the others unavailable.
 func TestBuildLeavesBrokenOut(t *testing.T) {
-	s, err := Build(2, []Resource{res(KindModel, "good", 1, `{"weights_version":"v1"}`), res(KindModel, "bad", 2, `{]`)})
+	s, err := Build(2, []Resource{newResource(KindModel, "good", 1, `{"weights_version":"v1"}`), newResource(KindModel, "bad", 2, `{]`)})
 	if err == nil || len(s.Models) != 1 {
 		t.Errorf("%d models, error %v", len(s.Models), err)
 	}
--- a/resource/snapshot.go
+++ b/resource/snapshot.go
@@ -7,9 +7,9 @@
 )
 
 // Snapshot is all resources at one revision of the platform's service. It is
-// immutable: processes swap one for the next and never change one in place.
+// immutable: processes replace it as a whole and never modify it in place.
 type Snapshot struct {
-	// Revision is the platform's revision that the snapshot is complete up to.
+	// Revision is the platform's revision up to which the snapshot is complete.
 	Revision    int64
 	Services    map[string]Service
 	Targets     map[string]Target
@@ -20,22 +20,22 @@
 	Resources map[string]Resource
 
 	customerByKeyHash map[string]string
-	targetsOf         map[string][]string
-	// deletions are the last ones; of those up to the revision floor some are
-	// no longer known.
+	targetsByGroup    map[string][]string
+	// deletions are the most recent ones. Deletions at or before the revision
+	// floor may be missing.
 	deletions []Deletion
 	floor     int64
 }
 
-// Empty returns the snapshot of a system in which nothing was set yet.
+// Empty returns a snapshot without resources, at revision 0.
 func Empty() *Snapshot {
 	s, _ := Build(0, nil)
 	return s
 }
 
-// Build returns the snapshot of resources at revision. Resources that do not
-// decode are left out and reported together; the rest is served, since one
-// broken resource must not take the others down.
+// Build returns the snapshot of resources at revision. Resources that cannot
+// be decoded are left out and reported in one error; the rest is served, since
+// one broken resource must not make the others unavailable.
 func Build(revision int64, resources []Resource) (*Snapshot, error) {
 	s := &Snapshot{
 		Revision:          revision,
@@ -47,7 +47,7 @@
 		Preferences:       map[string]Preference{},
 		Resources:         map[string]Resource{},
 		customerByKeyHash: map[string]string{},
-		targetsOf:         map[string][]string{},
+		targetsByGroup:    map[string][]string{},
 	}
 	var bad []string
 	for _, r := range resources {
@@ -92,7 +92,7 @@
 	for _, name := range slices.Sorted(maps.Keys(s.Targets)) {
 		t := s.Targets[name]
 		group := groupKey(t.Model, t.Service)
-		s.targetsOf[group] = append(s.targetsOf[group], name)
+		s.targetsByGroup[group] = append(s.targetsByGroup[group], name)
 	}
 }
 
@@ -111,16 +111,16 @@
 
 // TargetsOfModel returns the names of the model's targets, sorted.
 func (s *Snapshot) TargetsOfModel(model string) []string {
-	return s.targetsOf[groupKey(model, "")]
+	return s.targetsByGroup[groupKey(model, "")]
 }
 
 // TargetsOfService returns the names of the service's targets, sorted.
 func (s *Snapshot) TargetsOfService(service string) []string {
-	return s.targetsOf[groupKey("", service)]
+	return s.targetsByGroup[groupKey("", service)]
 }
 
-// PreferenceOf returns the preference of a customer, with defaults where it
-// names one that is not there.
+// PreferenceOf returns the preference of a customer, or the defaults if the
+// named preference does not exist.
 func (s *Snapshot) PreferenceOf(c Customer) Preference {
 	p, ok := s.Preferences[c.Preference]
 	if !ok {
--- a/resource/validate.go
+++ b/resource/validate.go
@@ -44,7 +44,7 @@
 	return nil, fmt.Errorf("unknown kind %q; use one of %v", kind, Kinds())
 }
 
-// Validate checks r by itself and against the other resources of s.
+// Validate checks r on its own and against the other resources of s.
 func Validate(r Resource, s *Snapshot) error {
 	var ps problem.List
 	if !namePattern.MatchString(r.Name) {
@@ -147,8 +147,8 @@
 	}
 }
 
-// InUse returns an error where another resource refers to this one, so that
-// it can't be deleted yet.
+// InUse returns an error if another resource refers to this one, which then
+// cannot be deleted yet.
 func InUse(kind Kind, name string, s *Snapshot) error {
 	var users []string
 	switch kind {
