--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is what the daemons have in common: a command line with a
-// settings file, a server, and a stop in order.
+// Package daemon holds what the daemons share: the command line, the settings file,
+// the server and the orderly shutdown.
 package daemon
 
 import (
@@ -22,33 +22,33 @@
 	"acaciakeel/refusal"
 )
 
-// Version is the product's version.
+// Version is the product version.
 const Version = "0.1.0"
 
-// Program is one daemon.
+// Program describes a daemon executable.
 type Program struct {
 	Name  string
 	Usage string
-	// Check reads and checks a settings file.
+	// Check reads and validates a settings file.
 	Check func(file string) error
 	// Start reads the settings file and starts the daemon.
 	Start func(ctx context.Context, file string) (*Service, error)
-	// More are further commands of the program.
+	// More are additional commands of the program.
 	More []*cli.Command
 }
 
-// Service is a daemon that runs.
+// Service is a running daemon.
 type Service struct {
 	Log     *logrus.Logger
 	Listen  string
 	Handler http.Handler
-	// Stop refuses or finishes what there is, until ctx ends.
+	// Stop completes or refuses the outstanding work. It returns when ctx ends at the latest.
 	Stop func(ctx context.Context)
-	// StopLimit is how long requests may take once a stop has begun. Then the
-	// context of those still served is canceled, with a *refusal.Error as the
-	// cause that they are to be answered with.
+	// StopLimit is how long requests may take after a shutdown has begun. After that, the
+	// context of each remaining request is canceled; its cause is the *refusal.Error with
+	// which the request must be answered.
 	StopLimit time.Duration
-	// Reread reads and checks the settings file again; Serve calls it at SIGHUP.
+	// Reread reads and validates the settings file again. Serve calls it on SIGHUP.
 	Reread func() error
 }
 
@@ -58,7 +58,7 @@
 	ExitSettings = 2
 )
 
-// Main runs a program and exits.
+// Main runs the program and exits the process if it fails.
 func Main(p Program) {
 	if err := p.command().Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -117,22 +117,22 @@
 	return service.Serve(p.Name)
 }
 
-// Serve serves until SIGTERM or SIGINT, then stops in order: new work is
-// refused or finished as the daemon sees fit, and whatever is read gets an
-// answer. A second signal ends the process at once. SIGHUP makes it read the
-// settings again and say what is wrong with them.
+// Serve serves requests until SIGTERM or SIGINT and then shuts down: Stop completes or
+// refuses new work, and every request that has been read gets an answer. A second signal
+// ends the process at once. On SIGHUP the settings file is read again and its errors are
+// logged.
 func (s *Service) Serve(name string) error {
-	// Signals that nobody takes end the process, so they are taken before the
-	// first connection is.
+	// The default action of these signals ends the process, so the handlers are installed
+	// before the first connection is accepted.
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	go s.rereadAt(hangups)
+	go s.rereadOnSignal(hangups)
 	serving, interrupt := context.WithCancelCause(context.Background())
 	defer interrupt(nil)
-	var leaving atomic.Bool
-	server := link.NewServer(closing(s.Handler, &leaving))
+	var stopping atomic.Bool
+	server := link.NewServer(closeOnShutdown(s.Handler, &stopping))
 	server.BaseContext = func(net.Listener) context.Context { return serving }
 	d, err := door.Start(s.Listen, server, door.Telemetry{Log: s.Log})
 	if err != nil {
@@ -140,26 +140,25 @@
 	}
 	s.Log.WithFields(logrus.Fields{"event": "started", "program": name, "listen": s.Listen, "version": Version}).Info("serving")
 	<-signals
-	leaving.Store(true)
-	s.shutdown(d, func() { interrupt(errEnding()) }, signals)
+	stopping.Store(true)
+	s.shutdown(d, func() { interrupt(errStopping()) }, signals)
 	return nil
 }
 
-// closing makes answers on HTTP/1 close their connections once a daemon leaves,
-// so that callers come back on new ones, to processes that stay. HTTP/2 has a
-// word of its own for the end of a connection.
-func closing(h http.Handler, leaving *atomic.Bool) http.Handler {
+// closeOnShutdown adds "Connection: close" to HTTP/1 responses during a shutdown, so that
+// clients reconnect to processes that keep running. HTTP/2 has GOAWAY for this purpose.
+func closeOnShutdown(h http.Handler, stopping *atomic.Bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.ProtoMajor == 1 && leaving.Load() {
+		if r.ProtoMajor == 1 && stopping.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		h.ServeHTTP(w, r)
 	})
 }
 
-// rereadAt reads the settings again at each signal. They are in force from the
-// next start on: addresses can't change before.
-func (s *Service) rereadAt(hangups <-chan os.Signal) {
+// rereadOnSignal validates the settings file at each signal. Changes apply only after a
+// restart because addresses cannot change in a running process.
+func (s *Service) rereadOnSignal(hangups <-chan os.Signal) {
 	for range hangups {
 		err := s.Reread()
 		if err != nil {
@@ -169,13 +168,12 @@
 	}
 }
 
-// lastAnswers is kept after the stop limit for the answers to requests that are
-// given up: an agent that is slow to answer an entry costs up to that.
-const lastAnswers = time.Second
+// interruptedAnswerTimeout is the time after StopLimit for answering the interrupted
+// requests. An agent that is slow to answer can delay an entry by up to this long.
+const interruptedAnswerTimeout = time.Second
 
-// errEnding is the cause with which the context of requests is canceled that
-// outlast a stop.
-func errEnding() error {
+// errStopping returns the cancellation cause for requests that exceed StopLimit.
+func errStopping() error {
 	r := refusal.New(refusal.Stopping, "look the result up, or ask again with the same Idempotency-Key", "this process stopped before the request ended")
 	r.Outcome = refusal.Unknown
 	return r
@@ -184,12 +182,12 @@
 func (s *Service) shutdown(d *door.Server, interrupt func(), signals <-chan os.Signal) {
 	s.Log.WithField("event", "stopping").Info("planned stop")
 	ended := make(chan bool, 1)
-	go func() { ended <- s.end(d, interrupt) }()
+	go func() { ended <- s.drain(d, interrupt) }()
 	select {
 	case <-signals:
 		s.Log.WithField("event", "stop_forced").Warn("second signal; ending at once")
-	case whole := <-ended:
-		if !whole {
+	case complete := <-ended:
+		if !complete {
 			s.Log.WithField("event", "stop_cut").Warn("the stop limit cut what was still open")
 			return
 		}
@@ -197,11 +195,11 @@
 	}
 }
 
-// end stops in order and reports whether all requests ended within the limit.
-func (s *Service) end(d *door.Server, interrupt func()) bool {
-	answers := time.Now().Add(s.StopLimit)
-	ctx, cancel := context.WithDeadline(context.Background(), answers)
+// drain shuts the service down and reports whether all requests ended within StopLimit.
+func (s *Service) drain(d *door.Server, interrupt func()) bool {
+	deadline := time.Now().Add(s.StopLimit)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	s.Stop(ctx)
-	return d.Shutdown(door.ShutdownOptions{AnswerDeadline: answers, Interrupt: interrupt, Deadline: answers.Add(lastAnswers)})
+	return d.Shutdown(door.ShutdownOptions{AnswerDeadline: deadline, Interrupt: interrupt, Deadline: deadline.Add(interruptedAnswerTimeout)})
 }
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -19,12 +19,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// daemon is a service that runs in this process and is stopped by a signal to it.
+// daemon is a service that runs in the test process and is stopped by a signal to it.
 type daemon struct {
 	t       *testing.T
 	address string
-	// served counts requests that reached the handler, reread how often the
-	// settings were read again.
+	// served counts the requests that reached the handler, reread the calls of Reread.
 	served atomic.Int64
 	reread atomic.Int64
 	ended  chan error
@@ -44,7 +43,7 @@
 		Log: log, Listen: d.address, Stop: func(context.Context) {}, StopLimit: limit,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			d.served.Add(1)
-			if r.URL.Path == endless {
+			if r.URL.Path == blockingPath {
 				<-r.Context().Done()
 				_, _ = io.WriteString(w, context.Cause(r.Context()).Error())
 				return
@@ -54,60 +53,60 @@
 		Reread: func() error { d.reread.Add(1); return errors.New("no such setting") },
 	}
 	go func() { d.ended <- s.Serve("test") }()
-	d.until("it serves", d.takes)
+	d.waitUntil("it serves", d.acceptsConnections)
 	return d
 }
 
-// patience bounds the waiting for what must come; no test judges how long it took.
-const patience = 20 * time.Second
+// waitTimeout bounds each wait for an expected event; no test checks the duration.
+const waitTimeout = 20 * time.Second
 
-func (d *daemon) until(what string, done func() bool) {
+func (d *daemon) waitUntil(what string, done func() bool) {
 	d.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	d.t.Fatalf("waited in vain until %s", what)
+	d.t.Fatalf("timed out waiting until %s", what)
 }
 
-// takes reports whether a new connection is taken and served.
-func (d *daemon) takes() bool {
+// acceptsConnections reports whether a new connection is accepted and served.
+func (d *daemon) acceptsConnections() bool {
 	c, err := net.Dial("tcp", d.address)
 	if err != nil {
 		return false
 	}
 	defer c.Close()
-	_, err = ask(c, bufio.NewReader(c), head+rest)
+	_, err = roundTrip(c, bufio.NewReader(c), head+rest)
 	return err == nil
 }
 
-// signal sends a signal to this process.
+// signal sends s to the test process.
 func (d *daemon) signal(s syscall.Signal) {
 	if err := syscall.Kill(os.Getpid(), s); err != nil {
 		d.t.Fatal(err)
 	}
 }
 
-// A request in two halves.
+// head and rest are the two parts of a request.
 const (
 	head = "GET / HTTP/1.1\r\nHost: h\r\n"
 	rest = "X: y\r\n\r\n"
 )
 
-// endless is the path of requests that end only with their context.
-const endless = "/endless"
+// blockingPath is the path of requests that end only when their context is canceled.
+const blockingPath = "/endless"
 
-// reply is what a caller sees of an answer.
+// reply is a response as the client sees it.
 type reply struct {
 	body string
-	// last is set where the daemon says that it closes the connection.
-	last bool
+	// closes is set if the response has "Connection: close".
+	closes bool
 }
 
-// ask sends text and reads one answer.
-func ask(c net.Conn, in *bufio.Reader, text string) (reply, error) {
-	_ = c.SetDeadline(time.Now().Add(patience))
+// roundTrip sends text and reads one response.
+func roundTrip(c net.Conn, in *bufio.Reader, text string) (reply, error) {
+	_ = c.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		return reply{}, err
 	}
@@ -117,19 +116,15 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return reply{body: string(body), last: resp.Close}, err
+	return reply{body: string(body), closes: resp.Close}, err
 }
 
-// A caller has sent half of a request's head when the daemon is told to stop,
-// and sends the other half once no new connections are taken. The daemon reads
-// the whole request, so it must answer it: a caller that gets a closed connection
-// can't know whether the request ran. The HTTP server's shutdown closes
-// connections on which it has served before, whatever has been read of the next
-// request, and ends the others without a word once their head is whole.
+// A request whose head is half read when the shutdown begins must be answered. http.Server.Shutdown
+// closes such a connection without a response, so the client cannot know whether the request ran.
 func TestStopAnswersWhatIsRead(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		t.Run(fmt.Sprintf("kept=%v", kept), func(t *testing.T) {
-			d := startDaemon(t, patience)
+			d := startDaemon(t, waitTimeout)
 			c, err := net.Dial("tcp", d.address)
 			if err != nil {
 				t.Fatal(err)
@@ -137,25 +132,25 @@
 			defer c.Close()
 			in := bufio.NewReader(c)
 			if kept {
-				if _, err := ask(c, in, head+rest); err != nil {
+				if _, err := roundTrip(c, in, head+rest); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if _, err := io.WriteString(c, head); err != nil {
 				t.Fatal(err)
 			}
-			// Connections are accepted in their order, so this one's end shows that
-			// the first has been; its half of a head is at the daemon then.
-			if !d.takes() {
+			// Connections are accepted in order: once this one has been served, the first
+			// has been accepted too and the daemon has its partial head.
+			if !d.acceptsConnections() {
 				t.Fatal("not served before the stop")
 			}
 			d.signal(syscall.SIGTERM)
-			d.until("no new connections are taken", func() bool { return !d.takes() })
-			a, err := ask(c, in, rest)
+			d.waitUntil("no new connections are taken", func() bool { return !d.acceptsConnections() })
+			a, err := roundTrip(c, in, rest)
 			if err != nil {
 				t.Errorf("a request that was read whole got no answer: %v", err)
 			}
-			if !a.last {
+			if !a.closes {
 				t.Error("the caller isn't told to take another connection")
 			}
 			c.Close()
@@ -166,25 +161,24 @@
 	}
 }
 
-// A request takes longer than a stop may. It must end with an answer that says
-// so, and that it may have run; its caller could not tell a connection that only
-// closes from a network that failed.
+// A request that exceeds StopLimit must be answered with outcome unknown: the client cannot
+// tell a connection closed without a response from a network failure.
 func TestStopLimitIsAnswered(t *testing.T) {
-	for _, framed := range []bool{false, true} {
-		t.Run(fmt.Sprintf("http2=%v", framed), func(t *testing.T) {
+	for _, http2 := range []bool{false, true} {
+		t.Run(fmt.Sprintf("http2=%v", http2), func(t *testing.T) {
 			d := startDaemon(t, 100*time.Millisecond)
-			client := newClient(framed)
+			client := newClient(http2)
 			defer client.CloseIdleConnections()
 			before := d.served.Load()
 			answered := make(chan error, 1)
 			go func() {
-				body, err := call(client, d.address+endless)
-				if err == nil && body != errEnding().Error() {
+				body, err := call(client, d.address+blockingPath)
+				if err == nil && body != errStopping().Error() {
 					err = fmt.Errorf("answered %q", body)
 				}
 				answered <- err
 			}()
-			d.until("the request runs", func() bool { return d.served.Load() > before })
+			d.waitUntil("the request runs", func() bool { return d.served.Load() > before })
 			d.signal(syscall.SIGTERM)
 			if err := <-answered; err != nil {
 				t.Error(err)
@@ -196,12 +190,10 @@
 	}
 }
 
-// An operator changes the settings file, makes a mistake in it, and sends the
-// daemon SIGHUP, as for other daemons. A caller is in the middle of a request.
-// The signal must not cost it its answer: where nobody takes it, it ends a
-// process at once, with all that runs there.
+// SIGHUP after a faulty settings change must not interrupt requests: without a handler, the
+// default action of the signal ends the process.
 func TestHangUpEndsNothing(t *testing.T) {
-	d := startDaemon(t, patience)
+	d := startDaemon(t, waitTimeout)
 	c, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
@@ -211,8 +203,8 @@
 		t.Fatal(err)
 	}
 	d.signal(syscall.SIGHUP)
-	d.until("the settings are read again", func() bool { return d.reread.Load() > 0 })
-	if _, err := ask(c, bufio.NewReader(c), rest); err != nil {
+	d.waitUntil("the settings are read again", func() bool { return d.reread.Load() > 0 })
+	if _, err := roundTrip(c, bufio.NewReader(c), rest); err != nil {
 		t.Errorf("a request got no answer: %v", err)
 	}
 	c.Close()
@@ -222,11 +214,10 @@
 	}
 }
 
-// The system's own processes talk over one HTTP/2 connection, and go on to call
-// a daemon that stops. Each call must be answered, or fail before it was sent
-// to a process that is there: then its sender may take it elsewhere.
+// Calls on one HTTP/2 connection during a shutdown must be answered or fail at dial, before
+// they are sent; otherwise the client cannot safely retry them on another process.
 func TestStopLosesNoStream(t *testing.T) {
-	d := startDaemon(t, patience)
+	d := startDaemon(t, waitTimeout)
 	client := newClient(true)
 	defer client.CloseIdleConnections()
 	before := d.served.Load()
@@ -248,7 +239,7 @@
 			}
 		})
 	}
-	d.until("calls are answered", func() bool { return answered.Load() > 0 })
+	d.waitUntil("calls are answered", func() bool { return answered.Load() > 0 })
 	d.signal(syscall.SIGTERM)
 	wg.Wait()
 	if err := <-d.ended; err != nil {
@@ -259,16 +250,16 @@
 	}
 }
 
-// newClient returns a client of HTTP/2, as the system's own processes have, or
-// of HTTP/1.
-func newClient(framed bool) *http.Client {
+// newClient returns an HTTP/2 client, as used between the processes of the system, or an
+// HTTP/1 client.
+func newClient(http2 bool) *http.Client {
 	var protocols http.Protocols
-	protocols.SetHTTP1(!framed)
-	protocols.SetUnencryptedHTTP2(framed)
+	protocols.SetHTTP1(!http2)
+	protocols.SetUnencryptedHTTP2(http2)
 	return &http.Client{Transport: &http.Transport{Protocols: &protocols}}
 }
 
-// call makes one call and returns the body of its answer.
+// call sends one request and returns the response body.
 func call(client *http.Client, where string) (string, error) {
 	resp, err := client.Post("http://"+where, "text/plain", strings.NewReader("x"))
 	if err != nil {
