--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -42,12 +42,12 @@
 resource, 4 the resource is not valid, 5 the outcome is unknown: read, then
 apply again.`
 
-// app is one run of keelctl.
+// app is one invocation of keelctl.
 type app struct {
 	out io.Writer
 }
 
-// Command returns keelctl, writing to out.
+// Command returns the keelctl command, which writes its output to out.
 func Command(out io.Writer) *cli.Command {
 	a := &app{out: out}
 	return &cli.Command{
@@ -79,7 +79,7 @@
 	}
 }
 
-// ExitCode returns the exit code for an error of Command.
+// ExitCode returns the exit code for an error returned by Command.
 func ExitCode(err error) int {
 	var coder cli.ExitCoder
 	var refused *operator.Error
@@ -229,7 +229,7 @@
 	}
 }
 
-// watchWait is how long one request of watch waits.
+// watchWait is the long-poll timeout of one watch request.
 const watchWait = 20 * time.Second
 
 func (a *app) watchCommand() *cli.Command {
@@ -265,8 +265,8 @@
 	}
 }
 
-// waitPause is the pause between two looks of wait.
-const waitPause = 100 * time.Millisecond
+// waitInterval is the interval between two status requests of the wait command.
+const waitInterval = 100 * time.Millisecond
 
 func (a *app) waitCommand() *cli.Command {
 	return &cli.Command{
@@ -291,7 +291,7 @@
 					return nil
 				}
 				select {
-				case <-time.After(waitPause):
+				case <-time.After(waitInterval):
 				case <-ctx.Done():
 					return fmt.Errorf("not in force yet at %v; %d processes are listed", behind, len(s.InForce))
 				}
--- a/ctl/limits.go
+++ b/ctl/limits.go
@@ -13,8 +13,8 @@
 	"acaciakeel/quota"
 )
 
-// limitsTry bounds the question to an entry.
-const limitsTry = 5 * time.Second
+// limitsTimeout bounds the request to an entry.
+const limitsTimeout = 5 * time.Second
 
 func (a *app) limitsCommand() *cli.Command {
 	return &cli.Command{
@@ -22,9 +22,9 @@
 		Usage: "show customers' use against their limits, as one entry on the platform knows it",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "metrics", Usage: "`IP:PORT` of the entry's metrics", Sources: cli.EnvVars("KEELCTL_METRICS"), Required: true}},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			ctx, cancel := context.WithTimeout(ctx, limitsTry)
+			ctx, cancel := context.WithTimeout(ctx, limitsTimeout)
 			defer cancel()
-			s, err := askLimits(ctx, c.String("metrics"))
+			s, err := fetchLimits(ctx, c.String("metrics"))
 			if err != nil {
 				return err
 			}
@@ -36,7 +36,7 @@
 	}
 }
 
-func askLimits(ctx context.Context, address string) (quota.State, error) {
+func fetchLimits(ctx context.Context, address string) (quota.State, error) {
 	var s quota.State
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/limits", nil)
 	if err != nil {
--- a/ctl/manifest.go
+++ b/ctl/manifest.go
@@ -1,4 +1,4 @@
-// Package ctl is keelctl: the resource API from a terminal.
+// Package ctl implements keelctl, the command-line client of the resource API.
 package ctl
 
 import (
@@ -17,9 +17,9 @@
 	Spec json.RawMessage
 }
 
-// ReadManifests reads a TOML file with one [[KIND]] table for each resource,
-// each with a name beside the fields of its spec. Resources come back in the
-// order in which they can be applied.
+// ReadManifests reads a TOML file with one [[KIND]] table per resource. Each table holds the
+// name and the fields of the spec. The resources are returned in the order in which they
+// can be applied.
 func ReadManifests(file string) ([]Manifest, error) {
 	var tables map[string][]map[string]any
 	if _, err := toml.DecodeFile(file, &tables); err != nil {
--- a/ctl/print.go
+++ b/ctl/print.go
@@ -22,7 +22,7 @@
 	return uuid.NewString()
 }
 
-// sameSpec reports whether two specs say the same.
+// sameSpec reports whether two specs are equal after decoding.
 func sameSpec(kind resource.Kind, a, b json.RawMessage) bool {
 	left, err := resource.DecodeSpec(kind, a)
 	if err != nil {
@@ -33,7 +33,7 @@
 		return false
 	}
 	if have, ok := left.(resource.Model); ok && right.(resource.Model).PreviousVersion == "" {
-		// Entries fill this field in; a file need not repeat it.
+		// Entries set this field; a manifest may omit it.
 		have.PreviousVersion = ""
 		left = have
 	}
@@ -99,7 +99,7 @@
 	})
 }
 
-// behind returns the processes that have not reached a revision, sorted.
+// behind returns the sorted names of the processes that have not reached the revision.
 func behind(s operator.Status, revision int64) []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(s.InForce)) {
--- a/ctl/verdicts.go
+++ b/ctl/verdicts.go
@@ -16,8 +16,8 @@
 	"acaciakeel/verdicts"
 )
 
-// verdictsTry bounds a call of the platform's store by an operator's command.
-const verdictsTry = 10 * time.Second
+// verdictsTimeout bounds the requests of one command to the platform's store.
+const verdictsTimeout = 10 * time.Second
 
 func storeFlag() *cli.StringFlag {
 	return &cli.StringFlag{Name: "store", Usage: "`IP:PORT` of the platform's store", Sources: cli.EnvVars("KEELCTL_STORE"), Required: true}
@@ -29,7 +29,7 @@
 		Usage: "list the contents that are refused because targets ended under them",
 		Flags: []cli.Flag{storeFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			ctx, cancel := context.WithTimeout(ctx, verdictsTry)
+			ctx, cancel := context.WithTimeout(ctx, verdictsTimeout)
 			defer cancel()
 			listing, err := platform.NewStore("http://"+c.String("store")).List(ctx, platform.VerdictPrefix)
 			if err != nil {
@@ -79,15 +79,16 @@
 			if err != nil {
 				return cli.Exit(fmt.Errorf("%w; keelctl verdicts lists them", err), ExitUsage)
 			}
-			ctx, cancel := context.WithTimeout(ctx, verdictsTry)
+			ctx, cancel := context.WithTimeout(ctx, verdictsTimeout)
 			defer cancel()
 			return a.lift(ctx, platform.NewStore("http://"+c.String("store")), content)
 		},
 	}
 }
 
-// lift marks a verdict as lifted; the entries see that by their watch. Removed, it would
-// go on until it lapses: a key that is missing may be one that the store lost.
+// lift marks a verdict as lifted; the entries learn of it through their watch. Deleting the
+// key would leave the verdict in force until it expires, because a missing key may be one
+// that the store lost.
 func (a *app) lift(ctx context.Context, s store.Store, content poison.Fingerprint) error {
 	key := verdicts.Key(content)
 	entry, err := s.Get(ctx, key)
