--- a/cmd/acaciakeel-agent/main.go
+++ b/cmd/acaciakeel-agent/main.go
@@ -1,4 +1,4 @@
-// Command acaciakeel-agent stands beside one target.
+// Command acaciakeel-agent is the agent daemon, which runs beside one target.
 package main
 
 import (
--- a/cmd/acaciakeel-entry/main.go
+++ b/cmd/acaciakeel-entry/main.go
@@ -1,4 +1,4 @@
-// Command acaciakeel-entry serves callers and operators.
+// Command acaciakeel-entry is the entry daemon: it serves client requests and the operator API.
 package main
 
 import (
@@ -21,7 +21,7 @@
 			return settings.Load(file, &s)
 		},
 		Start: start,
-		More:  []*cli.Command{onPlatform()},
+		More:  []*cli.Command{platformCommand()},
 	})
 }
 
--- a/cmd/acaciakeel-entry/platform.go
+++ b/cmd/acaciakeel-entry/platform.go
@@ -17,9 +17,9 @@
 	"acaciakeel/telemetry"
 )
 
-// onPlatform runs the entry on the users' platform, with the settings that the
-// platform writes.
-func onPlatform() *cli.Command {
+// platformCommand returns the command that runs the entry on the users' platform, with the
+// settings file that the platform writes.
+func platformCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
 		Usage: "run on the platform, by the settings that it writes, until SIGTERM",
@@ -45,19 +45,19 @@
 			}
 			<-stop
 			n.Stop()
-			lines.Flush(lastLines)
+			lines.Flush(logFlushTimeout)
 			return nil
 		},
 	}
 }
 
-// lastLines bounds the writing of the last log lines, within the margin that a
-// stop keeps from the end of the grace.
-const lastLines = 100 * time.Millisecond
+// logFlushTimeout bounds the flush of the last log lines. It fits in the margin that a
+// shutdown leaves before the end of the grace period.
+const logFlushTimeout = 100 * time.Millisecond
 
-// stopSignal returns a channel that closes at the first SIGTERM or SIGINT. A
-// SIGHUP says that the settings file has changed: it is read again, and what
-// it says is taken at the next start, as addresses can't change before.
+// stopSignal returns a channel that is closed at the first SIGTERM or SIGINT. On SIGHUP
+// the settings file is read again and its errors are logged; changes apply only after a
+// restart because addresses cannot change in a running process.
 func stopSignal(log logrus.FieldLogger) <-chan struct{} {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -65,7 +65,7 @@
 	go func() {
 		for s := range signals {
 			if s == syscall.SIGHUP {
-				reread(log)
+				rereadSettings(log)
 				continue
 			}
 			close(stop)
@@ -75,7 +75,7 @@
 	return stop
 }
 
-func reread(log logrus.FieldLogger) {
+func rereadSettings(log logrus.FieldLogger) {
 	_, err := platform.LoadNodeSettings(platform.NodeSettingsPath())
 	if err != nil {
 		err = fmt.Errorf("the settings in force stay: %w", err)
--- a/cmd/acaciakeel-standin/bench.go
+++ b/cmd/acaciakeel-standin/bench.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func fleetOf(c *cli.Command) load.Fleet {
+func fleetFromFlags(c *cli.Command) load.Fleet {
 	return load.Fleet{
 		Entries:     c.StringSlice("entry"),
 		Engines:     c.StringSlice("engine"),
@@ -60,7 +60,7 @@
 				return fmt.Errorf("read --preference: %w", err)
 			}
 			b := load.Bench{
-				Fleet:      fleetOf(c),
+				Fleet:      fleetFromFlags(c),
 				Profile:    profile,
 				Scenario:   load.Scenario(c.String("scenario")),
 				Policies:   c.StringSlice("policy"),
--- a/cmd/acaciakeel-standin/caller.go
+++ b/cmd/acaciakeel-standin/caller.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// httpCommand makes get, put and post, so that the scripts need no other
-// HTTP client on the machine.
+// httpCommand returns the get, put or post command, so that scripts need no other HTTP
+// client on the machine.
 func httpCommand(name string) *cli.Command {
 	return &cli.Command{
 		Name:      name,
--- a/cmd/acaciakeel-standin/main.go
+++ b/cmd/acaciakeel-standin/main.go
@@ -1,5 +1,5 @@
-// Command acaciakeel-standin runs small stand-ins of the outside systems, for
-// tests and trials: each subcommand is one process.
+// Command acaciakeel-standin runs small substitutes for the external systems, for tests and
+// trials. Each subcommand is one process.
 package main
 
 import (
@@ -65,7 +65,7 @@
 	return http.Serve(listener, handler)
 }
 
-// serveLinks serves the system's own messages.
+// serveLinks serves the internal protocol between the processes of the system.
 func serveLinks(listen string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
--- a/cmd/acaciakeel-standin/slopes.go
+++ b/cmd/acaciakeel-standin/slopes.go
@@ -25,7 +25,7 @@
 			if len(c.StringSlice("agent")) == 0 {
 				return fmt.Errorf("give at least one --agent")
 			}
-			slopes, err := load.TrafficSlopes(ctx, fleetOf(c), c.StringSlice("agent"),
+			slopes, err := load.TrafficSlopes(ctx, fleetFromFlags(c), c.StringSlice("agent"),
 				load.Profiles()[c.String("workload")], c.Uint64("seed"), c.FloatSlice("rates"), c.Duration("each"))
 			if err != nil {
 				return err
--- a/cmd/acaciakeel-standin/soak.go
+++ b/cmd/acaciakeel-standin/soak.go
@@ -20,7 +20,7 @@
 		),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			s := load.Soak{
-				Fleet:    fleetOf(c),
+				Fleet:    fleetFromFlags(c),
 				Services: c.StringSlice("service-url"),
 				Seed:     c.Uint64("seed"),
 				Duration: c.Duration("duration"),
--- a/cmd/keelctl/main.go
+++ b/cmd/keelctl/main.go
@@ -1,4 +1,4 @@
-// Command keelctl is the resource API from a terminal.
+// Command keelctl is the command-line client of the resource API.
 package main
 
 import (
