--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -42,7 +42,7 @@
 	Log     *logrus.Logger
 	Listen  string
 	Handler http.Handler
-	// Stop completes or refuses the outstanding work. It returns when ctx ends at the latest.
+	// Stop completes or refuses the outstanding work until ctx ends.
 	Stop func(ctx context.Context)
 	// StopLimit is how long requests may take after a shutdown has begun. After that, the
 	// context of each remaining request is canceled; its cause is the *refusal.Error with
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -53,7 +53,7 @@
 		Reread: func() error { d.reread.Add(1); return errors.New("no such setting") },
 	}
 	go func() { d.ended <- s.Serve("test") }()
-	d.waitUntil("it serves", d.acceptsConnections)
+	d.waitUntil("the daemon serves requests", d.acceptsConnections)
 	return d
 }
 
@@ -119,8 +119,8 @@
 	return reply{body: string(body), closes: resp.Close}, err
 }
 
-// A request whose head is half read when the shutdown begins must be answered. http.Server.Shutdown
-// closes such a connection without a response, so the client cannot know whether the request ran.
+// A request whose head is half read at shutdown must be answered, or its client cannot know whether it ran. http.Server.Shutdown
+// ends kept-alive connections at once and new ones after the head, both without a response.
 func TestStopAnswersWhatIsRead(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		t.Run(fmt.Sprintf("kept=%v", kept), func(t *testing.T) {
@@ -148,10 +148,10 @@
 			d.waitUntil("no new connections are taken", func() bool { return !d.acceptsConnections() })
 			a, err := roundTrip(c, in, rest)
 			if err != nil {
-				t.Errorf("a request that was read whole got no answer: %v", err)
+				t.Errorf("a completely read request got no answer: %v", err)
 			}
 			if !a.closes {
-				t.Error("the caller isn't told to take another connection")
+				t.Error("the response has no \"Connection: close\"")
 			}
 			c.Close()
 			if err := <-d.ended; err != nil {
