--- a/internal/standin/runner/deadly.go
+++ b/internal/standin/runner/deadly.go
@@ -8,34 +8,35 @@
 	"time"
 )
 
-// deadly is what ends the target: it crashes as soon as it begins to run a request
-// with a certain content, and starts again after a while.
+// deadly simulates a target that crashes when it runs a request whose body contains
+// marker: it crashes after the delay after and restarts once down has passed.
 type deadly struct {
 	marker string
 	after  time.Duration
 	down   time.Duration
-	// crashes are its ends; isDown and isClosed say why it does not listen.
+	// crashes holds the times of the crashes. isDown is set between a crash and the
+	// restart, isClosed after Close.
 	crashes  []time.Time
 	isDown   bool
 	isClosed bool
 }
 
-// EndOn has requests whose body holds marker end the target, some time after it began
-// to run them, for a while.
+// EndOn makes the target crash on requests whose body contains marker: it crashes after
+// the delay after and stays down for the duration down.
 func (r *Runner) EndOn(marker string, after, down time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.marker, r.after, r.down = marker, after, down
 }
 
-// Crashes returns how often the target ended so.
+// Crashes returns the number of crashes caused by EndOn.
 func (r *Runner) Crashes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.crashes)
 }
 
-// Ends returns when targets ended so, in order.
+// Ends returns the crash times of all targets in ascending order.
 func Ends(all []*Runner) []time.Time {
 	var out []time.Time
 	for _, r := range all {
@@ -53,8 +54,8 @@
 	return r.marker != "" && strings.Contains(body, r.marker)
 }
 
-// crash ends all connections and the listener at once, as the end of a process does,
-// once for all requests that would end the same life.
+// crash closes the listener and all connections at once, as a process exit does. Several
+// concurrent requests that match the marker cause a single crash.
 func (r *Runner) crash() {
 	r.mu.Lock()
 	after := r.after
@@ -72,11 +73,12 @@
 	r.mu.Unlock()
 	server.Listener.Close()
 	server.CloseClientConnections()
-	// The requests that it was serving end by themselves.
+	// Close waits for the handlers still running, so it runs in the background.
 	go server.Close()
 }
 
-// back starts the target again under its id and address, as a later life.
+// back restarts the target with the same id and address and a later start time. It
+// retries while the address is in use.
 func (r *Runner) back() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/runner/faults.go
+++ b/internal/standin/runner/faults.go
@@ -1,37 +1,37 @@
 package runner
 
-// Fault is what goes wrong with the requests of one target.
+// Fault is a failure that the target simulates.
 type Fault string
 
 // The faults.
 const (
 	None Fault = ""
-	// Shed refuses without running.
+	// Shed refuses requests without executing them.
 	Shed Fault = "shed"
-	// BrokenShed is Broken, and refuses unrun what goes on after an event;
-	// BrokenFailing answers 500 to that.
+	// BrokenShed acts like Broken and refuses requests that resume a stream without
+	// executing them; BrokenFailing answers these with 500.
 	BrokenShed    Fault = "broken_shed"
 	BrokenFailing Fault = "broken_failing"
-	// LoseAnswer runs the request and closes the connection.
+	// LoseAnswer executes the request and closes the connection without a response.
 	LoseAnswer Fault = "lose_answer"
-	// Crossed answers with the id of another request.
+	// Crossed answers with the Request-Id of another request.
 	Crossed Fault = "crossed"
-	// Unsealed answers without vouching for the body.
+	// Unsealed omits the Response-Seal header.
 	Unsealed Fault = "unsealed"
-	// Broken stops a stream in the middle of its third event, but not one that
-	// goes on after an earlier event.
+	// Broken aborts a stream in the middle of its third event, except a stream that
+	// is resumed after an earlier event.
 	Broken Fault = "broken"
-	// Mute runs the request and never answers, with its connections open.
+	// Mute executes the request and never answers; the connection stays open.
 	Mute Fault = "mute"
-	// Failing runs the request and answers 500.
+	// Failing executes the request and answers 500.
 	Failing Fault = "failing"
-	// RebornInStream starts the target again in the middle of the third event of
-	// a stream, RebornAtOrder once it has accepted an order and before it says so.
-	// Either happens once: the new life has no fault.
+	// RebornInStream restarts the target in the middle of the third event of a
+	// stream, RebornAtOrder after it has accepted an order and before it responds.
+	// The restart clears the fault, so each happens once.
 	RebornInStream Fault = "reborn_in_stream"
 	RebornAtOrder  Fault = "reborn_at_order"
-	// DeafToOrders answers no order and carries none out, LateOrders answers none and
-	// carries each out later.
+	// DeafToOrders neither answers nor executes orders. LateOrders does not answer
+	// them and executes each after lateBy.
 	DeafToOrders Fault = "deaf_to_orders"
 	LateOrders   Fault = "late_orders"
 )
--- a/internal/standin/runner/leaving.go
+++ b/internal/standin/runner/leaving.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Leave has the target say in its answers that it leaves, whatever the list says.
+// Leave makes the target set Server-Leaving in its responses, independently of the
+// state in its list entry.
 func (r *Runner) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaves = true
 }
 
-// sayLeaving puts it into an answer, and notes that its receiver was told.
+// sayLeaving sets Server-Leaving on a response and records the time.
 func (r *Runner) sayLeaving(h http.Header, seen int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -23,9 +24,8 @@
 	}
 }
 
-// AfterLeaving judges the requests since the target began to say that it leaves: those
-// that arrived later than bound after an answer to the same sender that said so. It
-// returns what broke the bound.
+// AfterLeaving returns one violation for each request that arrived more than bound after
+// the first response with Server-Leaving to the same sender in the same target lifetime.
 func (r *Runner) AfterLeaving(sender Sender, bound time.Duration) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/runner/limits.go
+++ b/internal/standin/runner/limits.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// limiting is the limit that the target names in its answers.
+// limiting is the rate limit that the target announces in its responses.
 type limiting struct {
-	// value is what it names; empty is none.
+	// value is the Server-Limit header; empty announces no limit.
 	value string
-	// rate is what that means, in requests a second, and since when.
+	// rate is the limit in requests per second, in effect from since.
 	rate  float64
 	since time.Time
 }
 
-// The bound on what a target gets that has named a limit: in any window one and a half
-// times the limit, and some requests more.
+// The requests allowed to a target that announces a limit: in any window of limitWindow,
+// limitOverrun times the limit plus limitSlack requests.
 const (
 	limitWindow  = 4 * time.Second
 	limitOverrun = 1.5
 	limitSlack   = 5
-	// toldAfter is how long after an answer its receiver is bound by it.
+	// toldAfter is the time from a response until its receiver must respect the limit.
 	toldAfter = 500 * time.Millisecond
 )
 
-// NameLimit has the target name a limit in its answers, as it stands there; value may be
-// anything, and rate is what it means. An empty value ends it.
+// NameLimit makes the target send value unchanged as Server-Limit; value need not be
+// well-formed. rate is the limit it stands for. An empty value stops the announcement.
 func (r *Runner) NameLimit(value string, rate float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.limiting = limiting{value: value, rate: rate, since: time.Now()}
 }
 
-// nameLimit puts the limit into an answer, and notes that its receiver was told.
+// nameLimit sets Server-Limit on a response and records the time.
 func (r *Runner) nameLimit(h http.Header, seen int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,12 +43,12 @@
 	}
 }
 
-// Sender names who sent a request that arrived at a time. One that is excused by a
-// restart, a freeze or a cut has another name from then on.
+// Sender returns the name of the sender of the request id at the given time. A sender
+// excused by a restart, a freeze or a network cut has a different name from then on.
 type Sender func(id string, at time.Time) string
 
-// OverLimit judges the requests since the limit was named, a time to settle left out:
-// those that came from senders that had been told. It returns what broke the bound.
+// OverLimit returns the violations of the announced limit. It counts requests from
+// senders that have received the limit, and ignores excesses within settle of its start.
 func (r *Runner) OverLimit(sender Sender, settle time.Duration) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/runner/listing.go
+++ b/internal/standin/runner/listing.go
@@ -6,11 +6,11 @@
 	"acaciakeel/store"
 )
 
-// listEvery is how often targets look whether their entries have changed.
+// listEvery is the interval at which entries are checked for changes.
 const listEvery = 20 * time.Millisecond
 
-// KeepListed writes the entries of targets as they change, such as when one starts again,
-// until stop is closed.
+// KeepListed writes the entry of each target whenever it changes, for example after a
+// restart, until stop is closed.
 func KeepListed(all []*Runner, set func(store.Entry), stop <-chan struct{}) {
 	written := map[string]string{}
 	for {
--- a/internal/standin/runner/rest.go
+++ b/internal/standin/runner/rest.go
@@ -7,20 +7,22 @@
 	"time"
 )
 
-// The bound on what a sender sends a target within the rest that this asked it for.
+// A sender may send at most restAllowed requests to a target between restSettles after
+// a 503 with Retry-After and the end of that period.
 const (
 	restSettles = 500 * time.Millisecond
 	restAllowed = 2
 )
 
-// ShedFor has the target turn all requests away and ask for so much rest; 0 ends it.
+// ShedFor makes the target refuse all requests with 503 and Retry-After set to rest;
+// 0 ends it.
 func (r *Runner) ShedFor(rest time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rest = rest
 }
 
-// askRest puts the rest into a 503 that turns a request away, and notes it.
+// askRest sets Retry-After on a 503 response and records its value and time.
 func (r *Runner) askRest(h http.Header, seen, status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -31,8 +33,8 @@
 	}
 }
 
-// WithinRest judges the requests that arrived from senders that had been asked for rest.
-// It returns what broke the bound.
+// WithinRest returns one violation for each 503 with Retry-After after which the same
+// sender sent more than restAllowed requests within the period.
 func (r *Runner) WithinRest(sender Sender) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
