--- a/internal/standin/runner/loading.go
+++ b/internal/standin/runner/loading.go
@@ -5,45 +5,47 @@
 	"time"
 )
 
-// loading is how a target works where loads of weights take time: so many requests
-// run at once and others wait for a slot, and an order waits for the runs, or cuts
-// them off, and refuses unrun whatever has not begun.
+// loading simulates a target on which loading weights takes time. Up to slots requests
+// run at once and others wait for a slot. An order waits for the running requests or
+// aborts them; requests without a first event are refused as not executed.
 type loading struct {
-	// load is the time that a load takes; 0 is none, and any number runs at once.
+	// load is the duration of a load; 0 switches weights immediately.
 	load time.Duration
-	// slots is how many requests run at once; 0 is any number.
+	// slots is the maximum number of concurrent requests; 0 is unlimited.
 	slots int
-	// busy is set while an order is carried out.
+	// busy is set while an order is being executed.
 	busy bool
-	// running are the requests that hold a slot.
+	// running holds the requests that occupy a slot.
 	running map[*run]bool
-	// changed is closed when a slot or an order has ended, or an order has begun.
+	// changed is closed and replaced when a slot is released, an order begins or ends,
+	// or the target restarts.
 	changed chan struct{}
 }
 
-// run is one request that holds a slot.
+// run is a request that occupies a slot.
 type run struct {
 	seen int
 	born int64
-	// cut is closed when its stream is to be reset.
+	// cut is closed to abort the stream.
 	cut chan struct{}
 }
 
-// SetLoading has loads of weights take a time, and so many requests run at once.
+// SetLoading sets the duration of a load and the number of concurrent requests.
 func (r *Runner) SetLoading(load time.Duration, slots int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.load, r.slots = load, slots
 }
 
-// Busy reports whether an order is being carried out.
+// Busy reports whether an order is being executed.
 func (r *Runner) Busy() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.busy
 }
 
-// turned wakes whoever waits for a slot or for the end of the runs; the caller holds mu.
+// turned wakes all waiters for a slot, an order or the end of the running requests; the
+// caller holds mu.
 func (r *Runner) turned() {
 	if r.changed != nil {
 		close(r.changed)
@@ -51,15 +53,15 @@
 	r.changed = make(chan struct{})
 }
 
-// idle forgets what ran and what was being loaded, as the end of a life does; the
+// idle drops the running requests and the order in progress, as a restart does; the
 // caller holds mu.
 func (r *Runner) idle() {
 	r.busy, r.running = false, map[*run]bool{}
 	r.turned()
 }
 
-// enter waits for a slot. Where the request gets none, in is nil, and refused says
-// whether the target refuses it unrun; else its caller left.
+// enter waits for a slot. If in is nil, the request got none: refused is true if an order
+// is in progress, and false if the client disconnected or the target restarted.
 func (r *Runner) enter(req *http.Request, seen int) (in *run, refused bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,7 +91,7 @@
 	return nil, false
 }
 
-// leave gives a slot back.
+// leave releases a slot.
 func (r *Runner) leave(in *run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,8 +101,9 @@
 	}
 }
 
-// read waits for as long as a request's prompt takes, and reports whether its first
-// event may come then: neither if an order came meanwhile, nor if its caller left.
+// read simulates prompt processing for the duration pace. begun reports whether the first
+// event may be sent; refused is set if an order arrived meanwhile. Both are false if the
+// client disconnected or the target restarted.
 func (r *Runner) read(req *http.Request, in *run, pace time.Duration) (begun, refused bool) {
 	timer := time.NewTimer(pace)
 	defer timer.Stop()
@@ -128,7 +131,7 @@
 	r.seen[in.seen].Ran = false
 }
 
-// begin notes the first event, and on which weights it comes.
+// begin records the time of the first event and the weights that produce it.
 func (r *Runner) begin(req *http.Request, in *run) (begun, refused bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,8 +147,8 @@
 	return true, false
 }
 
-// carryOut has an accepted order end the runs or cut them off, and load; the caller
-// holds mu.
+// carryOut starts an accepted order: in mode truncate it aborts the running requests,
+// otherwise it lets them finish, and then loads the weights; the caller holds mu.
 func (r *Runner) carryOut(o Order) {
 	if r.load == 0 {
 		r.weights[o.Model] = o.Version
@@ -161,7 +164,8 @@
 	go r.finish(o, r.born)
 }
 
-// finish waits for the runs of a life and loads.
+// finish waits for the running requests, then loads the weights. It has no effect if the
+// target has restarted since born.
 func (r *Runner) finish(o Order, born int64) {
 	r.mu.Lock()
 	for r.born == born && len(r.running) > 0 {
--- a/internal/standin/runner/orders.go
+++ b/internal/standin/runner/orders.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Order is an order as it arrived.
+// Order is an order that the target accepted.
 type Order struct {
 	Op           string `json:"op"`
 	Model        string `json:"model"`
@@ -15,11 +15,11 @@
 	Holder       string `json:"holder"`
 	Fence        int64  `json:"fence"`
 	Precondition *int64 `json:"precondition"`
-	// Born is the life that accepted it.
+	// Born is the start time of the target lifetime that accepted it.
 	Born int64 `json:"-"`
 }
 
-// lateBy is after what time a target that does so carries an order out.
+// lateBy is the delay before a target with the fault LateOrders executes an order.
 const lateBy = 1500 * time.Millisecond
 
 func (r *Runner) order(w http.ResponseWriter, req *http.Request) {
@@ -57,8 +57,8 @@
 	return r.fault
 }
 
-// accept carries an order out unless it expects another count of orders, or one is
-// being carried out.
+// accept executes an order unless another is in progress or its precondition differs
+// from the number of accepted orders.
 func (r *Runner) accept(o Order) (bool, Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/runner/runner.go
+++ b/internal/standin/runner/runner.go
@@ -1,6 +1,6 @@
-// Package runner is a stand-in of the platform's targets: it speaks their
-// published protocol, counts what ran, and fails as told. It decides nothing
-// about load; its answers are made up.
+// Package runner is a stand-in for the platform's targets: it implements their
+// published protocol, records the requests, and simulates configured faults. It makes
+// no load decisions; its responses are synthetic.
 package runner
 
 import (
@@ -18,34 +18,34 @@
 	"acaciakeel/store"
 )
 
-// Events is how many events a whole stream has.
+// Events is the number of events in a complete stream.
 const Events = 6
 
-// Seen is one request as it arrived.
+// Seen is a received request.
 type Seen struct {
 	ID     string
 	Method string
 	URI    string
 	Header http.Header
 	Body   string
-	// Ran is set where the target worked on it.
+	// Ran is set if the target executed the request.
 	Ran bool
 	At  time.Time
-	// Born is the start of the life that it came to.
+	// Born is the start time of the target lifetime that received it.
 	Born int64
-	// Began is when its first event came, and BeganOn the weights then.
+	// Began is the time of the first event, BeganOn the weight version that produced it.
 	Began   time.Time
 	BeganOn int64
-	// Limited is when it was answered with a limit.
+	// Limited is the time of a response with Server-Limit.
 	Limited time.Time
-	// ToldLeaving is when it was answered that the target leaves.
+	// ToldLeaving is the time of a response with Server-Leaving.
 	ToldLeaving time.Time
-	// Rest is what it was turned away with, and Answered when.
+	// Rest is the Retry-After of the 503 that refused it, Answered the time of that response.
 	Rest     time.Duration
 	Answered time.Time
 }
 
-// Runner is one target.
+// Runner is a simulated target.
 type Runner struct {
 	ID      string
 	Service string
@@ -53,12 +53,12 @@
 
 	mu     sync.Mutex
 	server *httptest.Server
-	// born is the Unix millisecond of its start, and accepted counts the orders
+	// born is the start time in Unix milliseconds; accepted counts the orders accepted
 	// since then.
 	born     int64
 	accepted int
 	fault    Fault
-	// first are the weights of the first start, and weights those by now.
+	// first holds the weights of the first start, weights the current ones.
 	first   map[string]int64
 	weights map[string]int64
 	orders  []Order
@@ -67,13 +67,14 @@
 	deadly
 	loading
 	limiting limiting
-	// leaves is set once it says in its answers that it leaves.
+	// leaves is set once responses carry Server-Leaving.
 	leaves bool
-	// rest is what it asks for as it turns all requests away; 0 where it does not.
+	// rest is the Retry-After with which all requests are refused; 0 refuses none.
 	rest time.Duration
 }
 
-// Start starts a target on loopback with the given weights; nil for a plain service.
+// Start starts a target on loopback with the given weights; nil for a service without
+// models.
 func Start(id, service string, weights map[string]int64) *Runner {
 	r := &Runner{ID: id, Service: service, first: maps.Clone(weights), weights: weights, born: time.Now().UnixMilli()}
 	r.idle()
@@ -87,21 +88,21 @@
 	return r
 }
 
-// Close ends the target.
+// Close stops the target.
 func (r *Runner) Close() {
 	server := r.closed()
 	server.CloseClientConnections()
 	server.Close()
 }
 
-// Restart ends the target's connections and starts it again under its id, with
-// its weights, an empty cache and no orders counted. It returns when it was born.
+// Restart closes the target's connections and restarts it with the same id and weights,
+// an empty cache and no orders counted. It returns the new start time.
 func (r *Runner) Restart() int64 {
 	return r.restart(func() {})
 }
 
-// Reborn is Restart with the weights of the first start, and without what would
-// have started it again.
+// Reborn restarts the target like Restart, but restores the weights of the first start
+// and clears the leaving state and the faults that cause a restart.
 func (r *Runner) Reborn() int64 {
 	return r.restart(func() {
 		r.weights = maps.Clone(r.first)
@@ -130,7 +131,7 @@
 	return r.address
 }
 
-// SetFault changes what goes wrong, SetPace the pause before each event.
+// SetFault sets the simulated fault.
 func (r *Runner) SetFault(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,21 +145,21 @@
 	r.pace = d
 }
 
-// Weights returns the version of a model that the target has.
+// Weights returns the version of a model that the target has loaded.
 func (r *Runner) Weights(name string) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.weights[name]
 }
 
-// Seen returns the requests that arrived.
+// Seen returns the received requests.
 func (r *Runner) Seen() []Seen {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Seen(nil), r.seen...)
 }
 
-// Orders returns the orders that arrived.
+// Orders returns the accepted orders.
 func (r *Runner) Orders() []Order {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -188,7 +189,7 @@
 	return out
 }
 
-// other reports whether another target is meant, and says so.
+// other reports whether the request expects another instance, and if so answers 421.
 func (r *Runner) other(w http.ResponseWriter, req *http.Request) bool {
 	meant := req.Header.Get("Expect-Instance")
 	if meant == "" || meant == r.ID {
@@ -250,16 +251,16 @@
 	r.answer(w, req, &turn{seen: seen, fault: fault, pace: pace})
 }
 
-// turn is how one request is answered.
+// turn is the state of the response to a request.
 type turn struct {
 	seen  int
 	fault Fault
 	pace  time.Duration
-	// run is its slot; nil where it needs none.
+	// run is the occupied slot; nil if the request needs none.
 	run *run
 }
 
-// setWeights says which version of a model answers, as each answer does.
+// setWeights sets Weight-Versions to the loaded version of a model.
 func (r *Runner) setWeights(h http.Header, name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -268,8 +269,8 @@
 	}
 }
 
-// note keeps a request, as the one at seen, and returns the status by which it is
-// refused unrun, or 0.
+// note records a request at index seen and returns the status with which it is refused
+// without execution, or 0.
 func (r *Runner) note(req *http.Request, body string) (seen int, f Fault, pace time.Duration, refused int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -325,12 +326,12 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// breaksOff reports whether streams end in the middle of an event.
+// breaksOff reports whether the fault aborts streams in the middle of an event.
 func breaksOff(f Fault) bool {
 	return f == Broken || f == BrokenShed || f == BrokenFailing || f == RebornInStream
 }
 
-// rebornOnce starts the target again unless another stream of its life did.
+// rebornOnce restarts the target unless another stream with the fault already has.
 func (r *Runner) rebornOnce(f Fault) {
 	r.mu.Lock()
 	due := r.fault == f
@@ -340,7 +341,8 @@
 	}
 }
 
-// pause waits for the next event; it returns false where the stream ends before.
+// pause waits until the next event is due; it returns false if the stream is aborted or
+// the client disconnects first.
 func (t *turn) pause(req *http.Request) bool {
 	timer := time.NewTimer(t.pace)
 	defer timer.Stop()
