--- a/internal/standin/runner/deadly.go
+++ b/internal/standin/runner/deadly.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// deadly simulates a target that crashes when it runs a request whose body contains
+// crashing simulates a target that crashes when it runs a request whose body contains
 // marker: it crashes after the delay after and restarts once down has passed.
-type deadly struct {
+type crashing struct {
 	marker string
 	after  time.Duration
 	down   time.Duration
@@ -48,7 +48,7 @@
 	return out
 }
 
-func (r *Runner) endsOn(body string) bool {
+func (r *Runner) crashesOn(body string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.marker != "" && strings.Contains(body, r.marker)
@@ -69,7 +69,7 @@
 	r.crashes = append(r.crashes, time.Now())
 	r.isDown = true
 	server := r.server
-	time.AfterFunc(r.down, r.back)
+	time.AfterFunc(r.down, r.restartAfterCrash)
 	r.mu.Unlock()
 	server.Listener.Close()
 	server.CloseClientConnections()
@@ -77,9 +77,9 @@
 	go server.Close()
 }
 
-// back restarts the target with the same id and address and a later start time. It
+// restartAfterCrash restarts the target with the same id and address and a later start time. It
 // retries while the address is in use.
-func (r *Runner) back() {
+func (r *Runner) restartAfterCrash() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.isClosed {
@@ -87,7 +87,7 @@
 	}
 	listener, err := net.Listen("tcp", r.address)
 	if err != nil {
-		time.AfterFunc(r.down, r.back)
+		time.AfterFunc(r.down, r.restartAfterCrash)
 		return
 	}
 	next := httptest.NewUnstartedServer(r.server.Config.Handler)
@@ -96,11 +96,11 @@
 	next.Start()
 	r.server, r.isDown = next, false
 	r.born, r.accepted = max(time.Now().UnixMilli(), r.born+1), 0
-	r.idle()
+	r.resetLoading()
 }
 
-// closed marks the target closed and returns its last server.
-func (r *Runner) closed() *httptest.Server {
+// markClosed marks the target markClosed and returns its last server.
+func (r *Runner) markClosed() *httptest.Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.isClosed = true
--- a/internal/standin/runner/faults.go
+++ b/internal/standin/runner/faults.go
@@ -31,7 +31,7 @@
 	RebornInStream Fault = "reborn_in_stream"
 	RebornAtOrder  Fault = "reborn_at_order"
 	// DeafToOrders neither answers nor executes orders. LateOrders does not answer
-	// them and executes each after lateBy.
+	// them and executes each after lateOrderDelay.
 	DeafToOrders Fault = "deaf_to_orders"
 	LateOrders   Fault = "late_orders"
 )
--- a/internal/standin/runner/leaving.go
+++ b/internal/standin/runner/leaving.go
@@ -14,8 +14,8 @@
 	r.leaves = true
 }
 
-// sayLeaving sets Server-Leaving on a response and records the time.
-func (r *Runner) sayLeaving(h http.Header, seen int) {
+// setLeavingHeader sets Server-Leaving on a response and records the time.
+func (r *Runner) setLeavingHeader(h http.Header, seen int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.leaves {
@@ -29,15 +29,15 @@
 func (r *Runner) AfterLeaving(sender Sender, bound time.Duration) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	told := map[string]time.Time{}
+	announced := map[string]time.Time{}
 	var broken []string
 	for _, s := range r.seen {
-		from := fmt.Sprintf("%s in its life of %d", sender(s.ID, s.At), s.Born)
-		if at := told[from]; !at.IsZero() && s.At.Sub(at) > bound {
-			broken = append(broken, fmt.Sprintf("%s got a request from %s %v after it had told it that it leaves, bound %v", r.ID, from, s.At.Sub(at).Round(time.Millisecond), bound))
+		from := fmt.Sprintf("%s (target started at %d)", sender(s.ID, s.At), s.Born)
+		if at := announced[from]; !at.IsZero() && s.At.Sub(at) > bound {
+			broken = append(broken, fmt.Sprintf("%s received a request from %s %v after announcing to it that it is leaving, allowed %v", r.ID, from, s.At.Sub(at).Round(time.Millisecond), bound))
 		}
-		if told[from].IsZero() {
-			told[from] = s.ToldLeaving
+		if announced[from].IsZero() {
+			announced[from] = s.ToldLeaving
 		}
 	}
 	return broken
--- a/internal/standin/runner/limits.go
+++ b/internal/standin/runner/limits.go
@@ -21,8 +21,8 @@
 	limitWindow  = 4 * time.Second
 	limitOverrun = 1.5
 	limitSlack   = 5
-	// toldAfter is the time from a response until its receiver must respect the limit.
-	toldAfter = 500 * time.Millisecond
+	// limitGrace is the time from a response until its receiver must respect the limit.
+	limitGrace = 500 * time.Millisecond
 )
 
 // NameLimit makes the target send value unchanged as Server-Limit; value need not be
@@ -33,8 +33,8 @@
 	r.limiting = limiting{value: value, rate: rate, since: time.Now()}
 }
 
-// nameLimit sets Server-Limit on a response and records the time.
-func (r *Runner) nameLimit(h http.Header, seen int) {
+// setLimitHeader sets Server-Limit on a response and records the time.
+func (r *Runner) setLimitHeader(h http.Header, seen int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.limiting.value != "" {
@@ -52,15 +52,15 @@
 func (r *Runner) OverLimit(sender Sender, settle time.Duration) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	told := map[string]time.Time{}
+	announced := map[string]time.Time{}
 	for _, s := range r.seen {
-		if from := sender(s.ID, s.Limited); !s.Limited.IsZero() && s.Limited.After(r.limiting.since) && told[from].IsZero() {
-			told[from] = s.Limited
+		if from := sender(s.ID, s.Limited); !s.Limited.IsZero() && s.Limited.After(r.limiting.since) && announced[from].IsZero() {
+			announced[from] = s.Limited
 		}
 	}
 	var bound []time.Time
 	for _, s := range r.seen {
-		if at := told[sender(s.ID, s.At)]; !at.IsZero() && s.At.Sub(at) >= toldAfter {
+		if at := announced[sender(s.ID, s.At)]; !at.IsZero() && s.At.Sub(at) >= limitGrace {
 			bound = append(bound, s.At)
 		}
 	}
@@ -72,7 +72,7 @@
 			first++
 		}
 		if n := i - first + 1; float64(n) > allowed && at.Sub(r.limiting.since) >= settle {
-			broken = append(broken, fmt.Sprintf("%s named a limit of %v a second and got %d requests in %v, %.0f allowed, %v after it named it",
+			broken = append(broken, fmt.Sprintf("%s announced a limit of %v requests/s and received %d requests in %v, allowed %.0f, %v after the announcement",
 				r.ID, r.limiting.rate, n, limitWindow, allowed, at.Sub(r.limiting.since).Round(time.Millisecond)))
 		}
 	}
--- a/internal/standin/runner/loading.go
+++ b/internal/standin/runner/loading.go
@@ -44,25 +44,25 @@
 	return r.busy
 }
 
-// turned wakes all waiters for a slot, an order or the end of the running requests; the
+// notifyChanged wakes all waiters for a slot, an order or the end of the running requests; the
 // caller holds mu.
-func (r *Runner) turned() {
+func (r *Runner) notifyChanged() {
 	if r.changed != nil {
 		close(r.changed)
 	}
 	r.changed = make(chan struct{})
 }
 
-// idle drops the running requests and the order in progress, as a restart does; the
+// resetLoading drops the running requests and the order in progress, as a restart does; the
 // caller holds mu.
-func (r *Runner) idle() {
+func (r *Runner) resetLoading() {
 	r.busy, r.running = false, map[*run]bool{}
-	r.turned()
+	r.notifyChanged()
 }
 
-// enter waits for a slot. If in is nil, the request got none: refused is true if an order
+// acquireSlot waits for a slot. If in is nil, the request got none: refused is true if an order
 // is in progress, and false if the client disconnected or the target restarted.
-func (r *Runner) enter(req *http.Request, seen int) (in *run, refused bool) {
+func (r *Runner) acquireSlot(req *http.Request, seen int) (in *run, refused bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	born := r.born
@@ -91,20 +91,20 @@
 	return nil, false
 }
 
-// leave releases a slot.
-func (r *Runner) leave(in *run) {
+// releaseSlot releases a slot.
+func (r *Runner) releaseSlot(in *run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.running[in] {
 		delete(r.running, in)
-		r.turned()
+		r.notifyChanged()
 	}
 }
 
-// read simulates prompt processing for the duration pace. begun reports whether the first
+// processPrompt simulates prompt processing for the duration pace. begun reports whether the first
 // event may be sent; refused is set if an order arrived meanwhile. Both are false if the
 // client disconnected or the target restarted.
-func (r *Runner) read(req *http.Request, in *run, pace time.Duration) (begun, refused bool) {
+func (r *Runner) processPrompt(req *http.Request, in *run, pace time.Duration) (begun, refused bool) {
 	timer := time.NewTimer(pace)
 	defer timer.Stop()
 	for {
@@ -112,7 +112,7 @@
 		busy, same, changed := r.busy, r.born == in.born, r.changed
 		r.mu.Unlock()
 		if busy && same {
-			r.unrun(in)
+			r.markNotExecuted(in)
 			return false, true
 		}
 		select {
@@ -125,7 +125,7 @@
 	}
 }
 
-func (r *Runner) unrun(in *run) {
+func (r *Runner) markNotExecuted(in *run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seen[in.seen].Ran = false
@@ -147,9 +147,9 @@
 	return true, false
 }
 
-// carryOut starts an accepted order: in mode truncate it aborts the running requests,
+// startOrder starts an accepted order: in mode truncate it aborts the running requests,
 // otherwise it lets them finish, and then loads the weights; the caller holds mu.
-func (r *Runner) carryOut(o Order) {
+func (r *Runner) startOrder(o Order) {
 	if r.load == 0 {
 		r.weights[o.Model] = o.Version
 		return
@@ -160,13 +160,13 @@
 			close(in.cut)
 		}
 	}
-	r.turned()
-	go r.finish(o, r.born)
+	r.notifyChanged()
+	go r.finishOrder(o, r.born)
 }
 
-// finish waits for the running requests, then loads the weights. It has no effect if the
+// finishOrder waits for the running requests, then loads the weights. It has no effect if the
 // target has restarted since born.
-func (r *Runner) finish(o Order, born int64) {
+func (r *Runner) finishOrder(o Order, born int64) {
 	r.mu.Lock()
 	for r.born == born && len(r.running) > 0 {
 		changed := r.changed
@@ -183,5 +183,5 @@
 		return
 	}
 	r.weights[o.Model], r.busy = o.Version, false
-	r.turned()
+	r.notifyChanged()
 }
--- a/internal/standin/runner/orders.go
+++ b/internal/standin/runner/orders.go
@@ -19,8 +19,8 @@
 	Born int64 `json:"-"`
 }
 
-// lateBy is the delay before a target with the fault LateOrders executes an order.
-const lateBy = 1500 * time.Millisecond
+// lateOrderDelay is the delay before a target with the fault LateOrders executes an order.
+const lateOrderDelay = 1500 * time.Millisecond
 
 func (r *Runner) order(w http.ResponseWriter, req *http.Request) {
 	var o Order
@@ -34,7 +34,7 @@
 	}
 	if fault := r.faultNow(); fault == DeafToOrders || fault == LateOrders {
 		if fault == LateOrders {
-			time.AfterFunc(lateBy, func() { r.accept(o) })
+			time.AfterFunc(lateOrderDelay, func() { r.accept(o) })
 		}
 		<-req.Context().Done()
 		return
@@ -68,6 +68,6 @@
 	o.Born = r.born
 	r.orders = append(r.orders, o)
 	r.accepted++
-	r.carryOut(o)
+	r.startOrder(o)
 	return true, r.fault
 }
--- a/internal/standin/runner/rest.go
+++ b/internal/standin/runner/rest.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// A sender may send at most restAllowed requests to a target between restSettles after
+// A sender may send at most restAllowed requests to a target between restGrace after
 // a 503 with Retry-After and the end of that period.
 const (
-	restSettles = 500 * time.Millisecond
+	restGrace   = 500 * time.Millisecond
 	restAllowed = 2
 )
 
@@ -22,8 +22,8 @@
 	r.rest = rest
 }
 
-// askRest sets Retry-After on a 503 response and records its value and time.
-func (r *Runner) askRest(h http.Header, seen, status int) {
+// setRetryAfter sets Retry-After on a 503 response and records its value and time.
+func (r *Runner) setRetryAfter(h http.Header, seen, status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.rest > 0 && status == http.StatusServiceUnavailable {
@@ -46,12 +46,12 @@
 		n, from := 0, sender(asked.ID, asked.Answered)
 		for _, s := range r.seen[i+1:] {
 			since := s.At.Sub(asked.Answered)
-			if s.Born == asked.Born && sender(s.ID, s.At) == from && since > restSettles && since < asked.Rest {
+			if s.Born == asked.Born && sender(s.ID, s.At) == from && since > restGrace && since < asked.Rest {
 				n++
 			}
 		}
 		if n > restAllowed {
-			broken = append(broken, fmt.Sprintf("%s asked %s for %v of rest and got %d requests from it in that time, %d allowed", r.ID, from, asked.Rest, n, restAllowed))
+			broken = append(broken, fmt.Sprintf("%s sent %s a 503 with Retry-After %v and received %d requests from it in that time, allowed %d", r.ID, from, asked.Rest, n, restAllowed))
 		}
 	}
 	return broken
--- a/internal/standin/runner/runner.go
+++ b/internal/standin/runner/runner.go
@@ -64,7 +64,7 @@
 	orders  []Order
 	seen    []Seen
 	pace    time.Duration
-	deadly
+	crashing
 	loading
 	limiting limiting
 	// leaves is set once responses carry Server-Leaving.
@@ -77,7 +77,7 @@
 // models.
 func Start(id, service string, weights map[string]int64) *Runner {
 	r := &Runner{ID: id, Service: service, first: maps.Clone(weights), weights: weights, born: time.Now().UnixMilli()}
-	r.idle()
+	r.resetLoading()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /report", r.report)
 	mux.HandleFunc("POST /order", r.order)
@@ -90,7 +90,7 @@
 
 // Close stops the target.
 func (r *Runner) Close() {
-	server := r.closed()
+	server := r.markClosed()
 	server.CloseClientConnections()
 	server.Close()
 }
@@ -117,7 +117,7 @@
 	r.mu.Lock()
 	r.born = max(time.Now().UnixMilli(), r.born+1)
 	r.accepted = 0
-	r.idle()
+	r.resetLoading()
 	forget()
 	born := r.born
 	server := r.server
@@ -189,8 +189,8 @@
 	return out
 }
 
-// other reports whether the request expects another instance, and if so answers 421.
-func (r *Runner) other(w http.ResponseWriter, req *http.Request) bool {
+// rejectOtherInstance reports whether the request expects another instance, and if so answers 421.
+func (r *Runner) rejectOtherInstance(w http.ResponseWriter, req *http.Request) bool {
 	meant := req.Header.Get("Expect-Instance")
 	if meant == "" || meant == r.ID {
 		return false
@@ -201,7 +201,7 @@
 }
 
 func (r *Runner) report(w http.ResponseWriter, req *http.Request) {
-	if r.other(w, req) {
+	if r.rejectOtherInstance(w, req) {
 		return
 	}
 	r.mu.Lock()
@@ -210,7 +210,7 @@
 }
 
 func (r *Runner) events(w http.ResponseWriter, req *http.Request) {
-	if r.other(w, req) {
+	if r.rejectOtherInstance(w, req) {
 		return
 	}
 	wait, _ := strconv.Atoi(req.Header.Get("Wait-Ms"))
@@ -225,10 +225,10 @@
 	if err != nil {
 		return
 	}
-	seen, fault, pace, refused := r.note(req, string(body))
-	r.nameLimit(w.Header(), seen)
-	r.sayLeaving(w.Header(), seen)
-	r.askRest(w.Header(), seen, refused)
+	seen, fault, pace, refused := r.record(req, string(body))
+	r.setLimitHeader(w.Header(), seen)
+	r.setLeavingHeader(w.Header(), seen)
+	r.setRetryAfter(w.Header(), seen, refused)
 	switch {
 	case refused == http.StatusMisdirectedRequest:
 		w.Header().Set("Instance-Id", r.ID)
@@ -239,7 +239,7 @@
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(refused)
 		return
-	case r.endsOn(string(body)):
+	case r.crashesOn(string(body)):
 		r.crash()
 		panic(http.ErrAbortHandler)
 	case fault == LoseAnswer:
@@ -248,11 +248,11 @@
 		<-req.Context().Done()
 		return
 	}
-	r.answer(w, req, &turn{seen: seen, fault: fault, pace: pace})
+	r.answer(w, req, &response{seen: seen, fault: fault, pace: pace})
 }
 
-// turn is the state of the response to a request.
-type turn struct {
+// response is the state of the response to a request.
+type response struct {
 	seen  int
 	fault Fault
 	pace  time.Duration
@@ -269,9 +269,9 @@
 	}
 }
 
-// note records a request at index seen and returns the status with which it is refused
+// record records a request at index seen and returns the status with which it is refused
 // without execution, or 0.
-func (r *Runner) note(req *http.Request, body string) (seen int, f Fault, pace time.Duration, refused int) {
+func (r *Runner) record(req *http.Request, body string) (seen int, f Fault, pace time.Duration, refused int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h := req.Header
@@ -288,7 +288,7 @@
 	return len(r.seen) - 1, r.fault, r.pace, refused
 }
 
-func (r *Runner) answer(w http.ResponseWriter, req *http.Request, t *turn) {
+func (r *Runner) answer(w http.ResponseWriter, req *http.Request, t *response) {
 	fault := t.fault
 	h := w.Header()
 	h.Set("Request-Id", req.Header.Get("Request-Id"))
@@ -306,12 +306,12 @@
 		_, _ = fmt.Fprintf(w, "answer to %s", req.Header.Get("Request-Id"))
 		return
 	}
-	in, refused := r.enter(req, t.seen)
+	in, refused := r.acquireSlot(req, t.seen)
 	if in != nil {
-		defer r.leave(in)
+		defer r.releaseSlot(in)
 		t.run = in
 		var begun bool
-		if begun, refused = r.read(req, in, t.pace); begun {
+		if begun, refused = r.processPrompt(req, in, t.pace); begun {
 			h.Set("Content-Type", "text/event-stream")
 			r.setWeights(h, req.Header.Get("Model"))
 			r.stream(w, req, t)
@@ -326,8 +326,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// breaksOff reports whether the fault aborts streams in the middle of an event.
-func breaksOff(f Fault) bool {
+// breaksStream reports whether the fault aborts streams in the middle of an event.
+func breaksStream(f Fault) bool {
 	return f == Broken || f == BrokenShed || f == BrokenFailing || f == RebornInStream
 }
 
@@ -343,7 +343,7 @@
 
 // pause waits until the next event is due; it returns false if the stream is aborted or
 // the client disconnects first.
-func (t *turn) pause(req *http.Request) bool {
+func (t *response) pause(req *http.Request) bool {
 	timer := time.NewTimer(t.pace)
 	defer timer.Stop()
 	select {
@@ -355,7 +355,7 @@
 	return false
 }
 
-func (r *Runner) stream(w http.ResponseWriter, req *http.Request, t *turn) {
+func (r *Runner) stream(w http.ResponseWriter, req *http.Request, t *response) {
 	fault, first := t.fault, 1
 	if last, err := strconv.Atoi(req.Header.Get("Last-Event-Id")); err == nil {
 		first = last + 1
@@ -365,7 +365,7 @@
 		if i > first && !t.pause(req) {
 			panic(http.ErrAbortHandler)
 		}
-		if breaksOff(fault) && first == 1 && i == 3 {
+		if breaksStream(fault) && first == 1 && i == 3 {
 			_, _ = fmt.Fprintf(w, "id: %d\ndata: tor", i)
 			_ = flush.Flush()
 			if fault == RebornInStream {
