--- a/integration/soak/deadly_test.go
+++ b/integration/soak/deadly_test.go
@@ -54,7 +54,7 @@
 // and targets start again meanwhile.
 func (c *callers) deadly(content string, seed uint64) {
 	for _, tg := range c.site.runners {
-		tg.EndOn(deadlyID, deadlyAfter, deadlyDown)
+		tg.CrashOn(deadlyID, deadlyAfter, deadlyDown)
 	}
 	random := rand.New(rand.NewPCG(seed, 1<<33))
 	c.done.Add(1)
@@ -87,7 +87,7 @@
 // judgeDeadly: entries that kept running, or were killed and started, send it to no more
 // targets than the rule allows once three have ended.
 func (c *callers) judgeDeadly(content string) {
-	ends := runner.Ends(c.site.allRunners())
+	ends := runner.CrashTimes(c.site.allRunners())
 	if len(ends) < deadlyEnds {
 		return
 	}
--- a/internal/standin/runner/deadly.go
+++ b/internal/standin/runner/deadly.go
@@ -21,23 +21,23 @@
 	isClosed bool
 }
 
-// EndOn makes the target crash on requests whose body contains marker: it crashes after
+// CrashOn makes the target crash on requests whose body contains marker: it crashes after
 // the delay after and stays down for the duration down.
-func (r *Runner) EndOn(marker string, after, down time.Duration) {
+func (r *Runner) CrashOn(marker string, after, down time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.marker, r.after, r.down = marker, after, down
 }
 
-// Crashes returns the number of crashes caused by EndOn.
+// Crashes returns the number of crashes caused by CrashOn.
 func (r *Runner) Crashes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.crashes)
 }
 
-// Ends returns the crash times of all targets in ascending order.
-func Ends(all []*Runner) []time.Time {
+// CrashTimes returns the crash times of all targets in ascending order.
+func CrashTimes(all []*Runner) []time.Time {
 	var out []time.Time
 	for _, r := range all {
 		r.mu.Lock()
--- a/internal/trial/ends.go
+++ b/internal/trial/ends.go
@@ -76,7 +76,7 @@
 	}
 	defer s.close()
 	for _, r := range s.runners {
-		r.EndOn(deadly, endAfter, down)
+		r.CrashOn(deadly, endAfter, down)
 	}
 	c := &count{}
 	var wg sync.WaitGroup
--- a/node/poison_test.go
+++ b/node/poison_test.go
@@ -44,7 +44,7 @@
 		t.Cleanup(r.Close)
 	}
 	for _, r := range w.runners {
-		r.EndOn(crashTrigger, crashDelay, crashDowntime)
+		r.CrashOn(crashTrigger, crashDelay, crashDowntime)
 		r.SetPace(5 * time.Millisecond)
 	}
 	stop := make(chan struct{})
@@ -187,7 +187,7 @@
 	w.repeat("/match/deadly", 8, w.node)
 	w.until("the verdict is in the store", w.hasVerdict)
 	for _, r := range w.runners {
-		r.EndOn("", 0, 0)
+		r.CrashOn("", 0, 0)
 	}
 	if !w.refuses(w.node) {
 		t.Error("it is served before the verdict is lifted")
