--- a/internal/standin/runner/deadly.go
+++ b/internal/standin/runner/deadly.go
@@ -8,35 +8,36 @@
 	"time"
 )
 
-// deadly is what ends the target: it crashes as soon as it begins to run a request
-// with a certain content, and starts again after a while.
-type deadly struct {
+// crashing simulates a target that crashes when it runs a request whose body contains
+// marker: it crashes after the delay after and restarts once down has passed.
+type crashing struct {
 	marker string
 	after  time.Duration
 	down   time.Duration
-	// crashes are its ends; isDown and isClosed say why it does not listen.
+	// crashes holds the times of the crashes. isDown is set between a crash and the
+	// restart, isClosed after Close.
 	crashes  []time.Time
 	isDown   bool
 	isClosed bool
 }
 
-// EndOn has requests whose body holds marker end the target, some time after it began
-// to run them, for a while.
-func (r *Runner) EndOn(marker string, after, down time.Duration) {
+// CrashOn makes the target crash on requests whose body contains marker: it crashes after
+// the delay after and stays down for the duration down.
+func (r *Runner) CrashOn(marker string, after, down time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.marker, r.after, r.down = marker, after, down
 }
 
-// Crashes returns how often the target ended so.
+// Crashes returns the number of crashes caused by CrashOn.
 func (r *Runner) Crashes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.crashes)
 }
 
-// Ends returns when targets ended so, in order.
-func Ends(all []*Runner) []time.Time {
+// CrashTimes returns the crash times of all targets in ascending order.
+func CrashTimes(all []*Runner) []time.Time {
 	var out []time.Time
 	for _, r := range all {
 		r.mu.Lock()
@@ -47,14 +48,14 @@
 	return out
 }
 
-func (r *Runner) endsOn(body string) bool {
+func (r *Runner) crashesOn(body string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.marker != "" && strings.Contains(body, r.marker)
 }
 
-// crash ends all connections and the listener at once, as the end of a process does,
-// once for all requests that would end the same life.
+// crash closes the listener and all connections at once, as a process exit does. Several
+// concurrent requests that match the marker cause a single crash.
 func (r *Runner) crash() {
 	r.mu.Lock()
 	after := r.after
@@ -68,16 +69,17 @@
 	r.crashes = append(r.crashes, time.Now())
 	r.isDown = true
 	server := r.server
-	time.AfterFunc(r.down, r.back)
+	time.AfterFunc(r.down, r.restartAfterCrash)
 	r.mu.Unlock()
 	server.Listener.Close()
 	server.CloseClientConnections()
-	// The requests that it was serving end by themselves.
+	// Close waits for the handlers still running, so it runs in the background.
 	go server.Close()
 }
 
-// back starts the target again under its id and address, as a later life.
-func (r *Runner) back() {
+// restartAfterCrash restarts the target with the same id and address and a later start time. It
+// retries while the address is in use.
+func (r *Runner) restartAfterCrash() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.isClosed {
@@ -85,7 +87,7 @@
 	}
 	listener, err := net.Listen("tcp", r.address)
 	if err != nil {
-		time.AfterFunc(r.down, r.back)
+		time.AfterFunc(r.down, r.restartAfterCrash)
 		return
 	}
 	next := httptest.NewUnstartedServer(r.server.Config.Handler)
@@ -94,11 +96,11 @@
 	next.Start()
 	r.server, r.isDown = next, false
 	r.born, r.accepted = max(time.Now().UnixMilli(), r.born+1), 0
-	r.idle()
+	r.resetLoading()
 }
 
-// closed marks the target closed and returns its last server.
-func (r *Runner) closed() *httptest.Server {
+// markClosed marks the target markClosed and returns its last server.
+func (r *Runner) markClosed() *httptest.Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.isClosed = true
--- a/internal/standin/runner/leaving.go
+++ b/internal/standin/runner/leaving.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// Leave has the target say in its answers that it leaves, whatever the list says.
+// Leave makes the target set Server-Leaving in its responses, independently of the
+// state in its list entry.
 func (r *Runner) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaves = true
 }
 
-// sayLeaving puts it into an answer, and notes that its receiver was told.
-func (r *Runner) sayLeaving(h http.Header, seen int) {
+// setLeavingHeader sets Server-Leaving on a response and records the time.
+func (r *Runner) setLeavingHeader(h http.Header, seen int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.leaves {
@@ -23,21 +24,20 @@
 	}
 }
 
-// AfterLeaving judges the requests since the target began to say that it leaves: those
-// that arrived later than bound after an answer to the same sender that said so. It
-// returns what broke the bound.
+// AfterLeaving returns one violation for each request that arrived more than bound after
+// the first response with Server-Leaving to the same sender in the same target lifetime.
 func (r *Runner) AfterLeaving(sender Sender, bound time.Duration) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	told := map[string]time.Time{}
+	announced := map[string]time.Time{}
 	var broken []string
 	for _, s := range r.seen {
-		from := fmt.Sprintf("%s in its life of %d", sender(s.ID, s.At), s.Born)
-		if at := told[from]; !at.IsZero() && s.At.Sub(at) > bound {
-			broken = append(broken, fmt.Sprintf("%s got a request from %s %v after it had told it that it leaves, bound %v", r.ID, from, s.At.Sub(at).Round(time.Millisecond), bound))
+		from := fmt.Sprintf("%s (target started at %d)", sender(s.ID, s.At), s.Born)
+		if at := announced[from]; !at.IsZero() && s.At.Sub(at) > bound {
+			broken = append(broken, fmt.Sprintf("%s received a request from %s %v after announcing to it that it is leaving, allowed %v", r.ID, from, s.At.Sub(at).Round(time.Millisecond), bound))
 		}
-		if told[from].IsZero() {
-			told[from] = s.ToldLeaving
+		if announced[from].IsZero() {
+			announced[from] = s.ToldLeaving
 		}
 	}
 	return broken
--- a/internal/standin/runner/limits.go
+++ b/internal/standin/runner/limits.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// limiting is the limit that the target names in its answers.
+// limiting is the rate limit that the target announces in its responses.
 type limiting struct {
-	// value is what it names; empty is none.
+	// value is the Server-Limit header; empty announces no limit.
 	value string
-	// rate is what that means, in requests a second, and since when.
+	// rate is the limit in requests per second, in effect from since.
 	rate  float64
 	since time.Time
 }
 
-// The bound on what a target gets that has named a limit: in any window one and a half
-// times the limit, and some requests more.
+// The requests allowed to a target that announces a limit: in any window of limitWindow,
+// limitOverrun times the limit plus limitSlack requests.
 const (
 	limitWindow  = 4 * time.Second
 	limitOverrun = 1.5
 	limitSlack   = 5
-	// toldAfter is how long after an answer its receiver is bound by it.
-	toldAfter = 500 * time.Millisecond
+	// limitGrace is the time from a response until its receiver must respect the limit.
+	limitGrace = 500 * time.Millisecond
 )
 
-// NameLimit has the target name a limit in its answers, as it stands there; value may be
-// anything, and rate is what it means. An empty value ends it.
+// NameLimit makes the target send value unchanged as Server-Limit; value need not be
+// well-formed. rate is the limit it stands for. An empty value stops the announcement.
 func (r *Runner) NameLimit(value string, rate float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.limiting = limiting{value: value, rate: rate, since: time.Now()}
 }
 
-// nameLimit puts the limit into an answer, and notes that its receiver was told.
-func (r *Runner) nameLimit(h http.Header, seen int) {
+// setLimitHeader sets Server-Limit on a response and records the time.
+func (r *Runner) setLimitHeader(h http.Header, seen int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.limiting.value != "" {
@@ -43,24 +43,24 @@
 	}
 }
 
-// Sender names who sent a request that arrived at a time. One that is excused by a
-// restart, a freeze or a cut has another name from then on.
+// Sender returns the name of the sender of the request id at the given time. A sender
+// excused by a restart, a freeze or a network cut has a different name from then on.
 type Sender func(id string, at time.Time) string
 
-// OverLimit judges the requests since the limit was named, a time to settle left out:
-// those that came from senders that had been told. It returns what broke the bound.
+// OverLimit returns the violations of the announced limit. It counts requests from
+// senders that have received the limit, and ignores excesses within settle of its start.
 func (r *Runner) OverLimit(sender Sender, settle time.Duration) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	told := map[string]time.Time{}
+	announced := map[string]time.Time{}
 	for _, s := range r.seen {
-		if from := sender(s.ID, s.Limited); !s.Limited.IsZero() && s.Limited.After(r.limiting.since) && told[from].IsZero() {
-			told[from] = s.Limited
+		if from := sender(s.ID, s.Limited); !s.Limited.IsZero() && s.Limited.After(r.limiting.since) && announced[from].IsZero() {
+			announced[from] = s.Limited
 		}
 	}
 	var bound []time.Time
 	for _, s := range r.seen {
-		if at := told[sender(s.ID, s.At)]; !at.IsZero() && s.At.Sub(at) >= toldAfter {
+		if at := announced[sender(s.ID, s.At)]; !at.IsZero() && s.At.Sub(at) >= limitGrace {
 			bound = append(bound, s.At)
 		}
 	}
@@ -72,7 +72,7 @@
 			first++
 		}
 		if n := i - first + 1; float64(n) > allowed && at.Sub(r.limiting.since) >= settle {
-			broken = append(broken, fmt.Sprintf("%s named a limit of %v a second and got %d requests in %v, %.0f allowed, %v after it named it",
+			broken = append(broken, fmt.Sprintf("%s announced a limit of %v requests/s and received %d requests in %v, allowed %.0f, %v after the announcement",
 				r.ID, r.limiting.rate, n, limitWindow, allowed, at.Sub(r.limiting.since).Round(time.Millisecond)))
 		}
 	}
